--- a/src/balance/admission_share.cpp
+++ b/src/balance/admission_share.cpp
@@ -2,12 +2,12 @@
 
 namespace heathtrestle::balance {
 
-void admission_share::take(ring_arc arc, timestamp asked, timestamp now) {
+void admission_share::update(ring_arc arc, timestamp asked, timestamp now) {
   if (asked < asked_ || arc.length == 0) {
     return;
   }
   const bool unbroken =
-      !least_.empty() && arc.end == end_ && now < asked_ + believed_for;
+      !least_.empty() && arc.end == end_ && now < asked_ + report_lifetime;
   if (!unbroken) {
     least_.clear();
     told_since_ = now;
@@ -20,14 +20,14 @@
     least_.pop_back();
   }
   least_.push_back({.length = arc.length, .since = since});
-  while (least_.size() > 1 && now >= least_[1].since + settled_after) {
+  while (least_.size() > 1 && now >= least_[1].since + settling_time) {
     least_.pop_front();
   }
 }
 
-ring_arc admission_share::own(timestamp now) const {
-  const bool believed = !least_.empty() && now < asked_ + believed_for;
-  if (!believed || now < told_since_ + settled_after) {
+ring_arc admission_share::owned_arc(timestamp now) const {
+  const bool believed = !least_.empty() && now < asked_ + report_lifetime;
+  if (!believed || now < told_since_ + settling_time) {
     return {};
   }
   return {.end = end_, .length = least_.front().length};
--- a/src/balance/admission_share.hpp
+++ b/src/balance/admission_share.hpp
@@ -23,19 +23,20 @@
 public:
   /// What was told counts for so long from when it was asked for. A gateway
   /// asks several times a second, one with few clients every second or two.
-  static constexpr duration_ms believed_for{3000};
+  static constexpr duration_ms report_lifetime{3000};
   /// A point is spent after it was on every arc told for so long: until the
   /// gateway before has ceased to believe in it, and a second more, within
   /// which its last requests count.
-  static constexpr duration_ms settled_after = believed_for + duration_ms{1000};
+  static constexpr duration_ms settling_time =
+      report_lifetime + duration_ms{1000};
 
   /// @param asked when the question was sent that brought the arc; an answer
   /// to an earlier one than the last is ignored.
-  void take(ring_arc arc, timestamp asked, timestamp now);
+  void update(ring_arc arc, timestamp asked, timestamp now);
 
   /// The points that this gateway may spend; none where it has not heard of
   /// the others lately, or not for long enough.
-  [[nodiscard]] ring_arc own(timestamp now) const;
+  [[nodiscard]] ring_arc owned_arc(timestamp now) const;
 
 private:
   /// All arcs told since then were this long or longer.
--- a/src/balance/slow_start.cpp
+++ b/src/balance/slow_start.cpp
@@ -42,7 +42,7 @@
 
 std::uint32_t slow_start::own(const admission_share &share,
                               timestamp now) const {
-  const ring_arc arc = share.own(now);
+  const ring_arc arc = share.owned_arc(now);
   std::uint32_t count = 0;
   for (std::uint32_t number = 0; number < admissions_; ++number) {
     count += arc.contains(point_of(key_, number)) ? 1 : 0;
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -479,8 +479,8 @@
 }
 
 void replica_selector::take_shared_loads(const wire::SharedLoads &shared) {
-  share_.take({.end = shared.arc_end(), .length = shared.arc_length()},
-              timestamp_from(shared.told_ms()), steady_now());
+  share_.update({.end = shared.arc_end(), .length = shared.arc_length()},
+                timestamp_from(shared.told_ms()), steady_now());
   if (!options_.policies.shared_loads) {
     return;
   }
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -67,8 +67,8 @@
   }
   void take(const wire::SharedLoads &shared, std::uint32_t,
             timestamp now) override {
-    share_.take({.end = shared.arc_end(), .length = shared.arc_length()},
-                timestamp_from(shared.told_ms()), now);
+    share_.update({.end = shared.arc_end(), .length = shared.arc_length()},
+                  timestamp_from(shared.told_ms()), now);
   }
 
 private:
@@ -273,46 +273,46 @@
 public:
   void an_arc_counts_once_nobody_else_believes_in_it() {
     admission_share share;
-    hear(share, some_length, admission_share::settled_after);
-    CPPUNIT_ASSERT_EQUAL(0U, share.own(now_ - duration_ms{1}).length);
-    share.take({some_end, some_length}, now_, now_);
-    CPPUNIT_ASSERT_EQUAL(some_length, share.own(now_).length);
+    hear(share, some_length, admission_share::settling_time);
+    CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_ - duration_ms{1}).length);
+    share.update({some_end, some_length}, now_, now_);
+    CPPUNIT_ASSERT_EQUAL(some_length, share.owned_arc(now_).length);
   }
 
   void what_an_arc_loses_is_lost_at_once() {
     admission_share share;
     hear(share, some_length, settling);
-    share.take({some_end, some_length / 2}, now_, now_);
-    CPPUNIT_ASSERT_EQUAL(some_length / 2, share.own(now_).length);
+    share.update({some_end, some_length / 2}, now_, now_);
+    CPPUNIT_ASSERT_EQUAL(some_length / 2, share.owned_arc(now_).length);
   }
 
   void what_an_arc_gains_counts_later() {
     admission_share share;
     hear(share, some_length, settling);
     const timestamp gained = now_;
-    hear(share, 2 * some_length, admission_share::settled_after);
-    CPPUNIT_ASSERT_EQUAL(some_length, share.own(now_).length);
+    hear(share, 2 * some_length, admission_share::settling_time);
+    CPPUNIT_ASSERT_EQUAL(some_length, share.owned_arc(now_).length);
     hear(share, 2 * some_length, telling);
-    CPPUNIT_ASSERT(now_ > gained + admission_share::settled_after);
-    CPPUNIT_ASSERT_EQUAL(2 * some_length, share.own(now_).length);
+    CPPUNIT_ASSERT(now_ > gained + admission_share::settling_time);
+    CPPUNIT_ASSERT_EQUAL(2 * some_length, share.owned_arc(now_).length);
   }
 
   void an_arc_that_is_not_told_again_lapses() {
     admission_share share;
     hear(share, some_length, settling);
-    now_ += admission_share::believed_for;
-    CPPUNIT_ASSERT_EQUAL(0U, share.own(now_).length);
+    now_ += admission_share::report_lifetime;
+    CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_).length);
     hear(share, some_length, telling);
-    CPPUNIT_ASSERT_EQUAL(0U, share.own(now_).length);
+    CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_).length);
   }
 
   void a_late_answer_makes_no_arc_younger() {
     admission_share share;
     hear(share, some_length, settling);
     const timestamp asked = now_;
-    now_ += admission_share::believed_for;
-    share.take({some_end, some_length}, asked, now_);
-    CPPUNIT_ASSERT_EQUAL(0U, share.own(now_).length);
+    now_ += admission_share::report_lifetime;
+    share.update({some_end, some_length}, asked, now_);
+    CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_).length);
   }
 
   void admissions_stay_within_half_of_the_bound() {
@@ -436,14 +436,14 @@
   void hear(admission_share &share, std::uint32_t length, duration_ms span) {
     const timestamp end = now_ + span;
     for (; now_ < end; now_ += telling) {
-      share.take({some_end, length}, now_, now_);
+      share.update({some_end, length}, now_, now_);
     }
   }
 
   admission_share whole_ring() {
     admission_share share;
     for (const timestamp end = now_ + settling; now_ < end; now_ += telling) {
-      share.take({0, std::numeric_limits<std::uint32_t>::max()}, now_, now_);
+      share.update({0, std::numeric_limits<std::uint32_t>::max()}, now_, now_);
     }
     return share;
   }
