--- a/src/balance/slow_start.cpp
+++ b/src/balance/slow_start.cpp
@@ -40,8 +40,8 @@
   sent_since_begin_ = 0;
 }
 
-std::uint32_t slow_start::own(const admission_share &share,
-                              timestamp now) const {
+std::uint32_t slow_start::owned_admissions(const admission_share &share,
+                                           timestamp now) const {
   const ring_arc arc = share.owned_arc(now);
   std::uint32_t count = 0;
   for (std::uint32_t number = 0; number < admissions_; ++number) {
@@ -50,9 +50,9 @@
   return count;
 }
 
-std::optional<timestamp> slow_start::next(const admission_share &share,
-                                          timestamp now) const {
-  const std::uint32_t owned = own(share, now);
+std::optional<timestamp>
+slow_start::next_admission(const admission_share &share, timestamp now) const {
+  const std::uint32_t owned = owned_admissions(share, now);
   if (owned == 0) {
     return std::nullopt;
   }
@@ -63,7 +63,7 @@
   return std::max(now, sent_[sent_.size() - owned] + window);
 }
 
-void slow_start::note_sent(timestamp now) {
+void slow_start::record_sent(timestamp now) {
   if (admissions_ == 0) {
     return;
   }
--- a/src/balance/slow_start.hpp
+++ b/src/balance/slow_start.hpp
@@ -64,15 +64,15 @@
   [[nodiscard]] std::uint32_t sent() const { return sent_since_begin_; }
 
   /// Admissions a second that are this gateway's.
-  [[nodiscard]] std::uint32_t own(const admission_share &share,
-                                  timestamp now) const;
+  [[nodiscard]] std::uint32_t owned_admissions(const admission_share &share,
+                                               timestamp now) const;
   /// When this gateway may send it the next request: `now` where it may at
   /// once, nothing where no admission is its own.
-  [[nodiscard]] std::optional<timestamp> next(const admission_share &share,
-                                              timestamp now) const;
+  [[nodiscard]] std::optional<timestamp>
+  next_admission(const admission_share &share, timestamp now) const;
   /// A request leaves for the replica, cold or not: it may turn cold within the
   /// second. It counts however it ends, for the replica has it to bear.
-  void note_sent(timestamp now);
+  void record_sent(timestamp now);
 
 private:
   std::uint64_t key_;
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -212,7 +212,7 @@
       .field("born_ms", told.record.born_ms)
       .field("for_ms", told.record.cold_for.count())
       .field("admissions_per_second", told.slow_start.admissions())
-      .field("own", told.slow_start.own(share_, now))
+      .field("own", told.slow_start.owned_admissions(share_, now))
       .write();
 }
 
@@ -226,7 +226,7 @@
         .field("instance", warm.record.id.value())
         .field("service", warm.record.service.value())
         .field("sent", warm.slow_start.sent())
-        .field("own", warm.slow_start.own(share_, steady_now()))
+        .field("own", warm.slow_start.owned_admissions(share_, steady_now()))
         .write();
   }
 }
@@ -246,7 +246,7 @@
   for (const auto &[id, each] : directory_.all()) {
     if (each->slow_start.cold(now)) {
       ++figures.cold;
-      figures.own_admissions += each->slow_start.own(share_, now);
+      figures.own_admissions += each->slow_start.owned_admissions(share_, now);
     }
   }
   return figures;
@@ -416,7 +416,8 @@
 timestamp replica_selector::next_send(const routing::instance &cold,
                                       timestamp now) const {
   const timestamp warm = cold.slow_start.cold_until();
-  return std::min(cold.slow_start.next(share_, now).value_or(warm), warm);
+  return std::min(cold.slow_start.next_admission(share_, now).value_or(warm),
+                  warm);
 }
 
 routing::exclusion
@@ -427,7 +428,7 @@
   const routing::exclusion cause =
       exclusion_of(target, home, place_of(request, drains_, now), now);
   if (cause == routing::exclusion::none) {
-    target.slow_start.note_sent(now);
+    target.slow_start.record_sent(now);
   }
   return cause;
 }
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -58,11 +58,11 @@
     }
   }
   bool admit(std::size_t replica, timestamp now) override {
-    const auto next = starts_[replica].next(share_, now);
+    const auto next = starts_[replica].next_admission(share_, now);
     if (!next || *next > now) {
       return false;
     }
-    starts_[replica].note_sent(now);
+    starts_[replica].record_sent(now);
     return true;
   }
   void take(const wire::SharedLoads &shared, std::uint32_t,
@@ -326,10 +326,10 @@
     slow_start cold(1);
     cold.set_admissions(2);
     cold.begin(now_ + settling);
-    cold.note_sent(now_);
-    CPPUNIT_ASSERT(cold.next(share, now_) == now_);
-    cold.note_sent(now_ + duration_ms{600});
-    const auto next = cold.next(share, now_ + duration_ms{600});
+    cold.record_sent(now_);
+    CPPUNIT_ASSERT(cold.next_admission(share, now_) == now_);
+    cold.record_sent(now_ + duration_ms{600});
+    const auto next = cold.next_admission(share, now_ + duration_ms{600});
     CPPUNIT_ASSERT(next > now_ + one_second);
     CPPUNIT_ASSERT(next < now_ + one_second + duration_ms{100});
   }
@@ -338,11 +338,11 @@
     const admission_share share = whole_ring();
     slow_start cold(1);
     cold.set_admissions(1);
-    cold.note_sent(now_);
+    cold.record_sent(now_);
     CPPUNIT_ASSERT(!cold.cold(now_));
     cold.begin(now_ + settling);
     CPPUNIT_ASSERT(cold.cold(now_));
-    CPPUNIT_ASSERT(cold.next(share, now_) > now_ + one_second);
+    CPPUNIT_ASSERT(cold.next_admission(share, now_) > now_ + one_second);
     cold.end();
     CPPUNIT_ASSERT(!cold.cold(now_));
   }
