--- a/src/balance/replica_speed.cpp
+++ b/src/balance/replica_speed.cpp
@@ -21,12 +21,12 @@
 
 } // namespace
 
-void replica_speed::note_time(double observed, double expected) {
+void replica_speed::record_duration(double observed, double expected) {
   const double times = std::clamp(observed / expected, least_times, most_times);
   slowdown_ += speed_weight * (times - slowdown_);
 }
 
-void replica_speed::note_first_event(double excess_ms, timestamp now) {
+void replica_speed::record_first_event(double excess_ms, timestamp now) {
   const double before = wait_ms(now);
   wait_ms_ = before + wait_weight * (excess_ms - before);
   noted_ = now;
--- a/src/balance/replica_speed.hpp
+++ b/src/balance/replica_speed.hpp
@@ -10,10 +10,10 @@
 public:
   /// @param observed, expected time of one answer, or between two events, in
   /// milliseconds; both above zero.
-  void note_time(double observed, double expected);
+  void record_duration(double observed, double expected);
   /// @param excess_ms time that a first event took beyond what was expected;
   /// negative when it came sooner.
-  void note_first_event(double excess_ms, timestamp now);
+  void record_first_event(double excess_ms, timestamp now);
 
   /// Times as long as usual; 1 before anything was seen.
   [[nodiscard]] double slowdown() const { return slowdown_; }
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -520,7 +520,7 @@
   note_sound(answered);
   const double taken = std::max(elapsed_ms, shortest_answer_ms);
   double &usual = answer_ms_.try_emplace(route, taken).first->second;
-  answered.speed.note_time(taken, usual);
+  answered.speed.record_duration(taken, usual);
   usual += weight * (taken - usual);
 }
 
@@ -530,14 +530,14 @@
   note_sound(answered);
   balance::engine_cost_model &model = engine_models_[answered.record.service];
   if (turn.event_gap_ms > 0) {
-    answered.speed.note_time(turn.event_gap_ms,
-                             model.event_gap_ms(turn.running));
+    answered.speed.record_duration(turn.event_gap_ms,
+                                   model.event_gap_ms(turn.running));
   }
   if (from_start) {
     const double expected =
         model.first_event_ms(turn.missing_tokens, turn.running);
-    answered.speed.note_first_event(turn.first_event_ms - expected,
-                                    steady_now());
+    answered.speed.record_first_event(turn.first_event_ms - expected,
+                                      steady_now());
     if (options_.policies.learnt_costs) {
       model.observe(turn);
     }
--- a/tests/balance/engine_cost_model_test.cpp
+++ b/tests/balance/engine_cost_model_test.cpp
@@ -160,14 +160,14 @@
     replica_speed speed;
     CPPUNIT_ASSERT_EQUAL(1.0, speed.slowdown());
     for (int answer = 0; answer < 60; ++answer) {
-      speed.note_time(50, 10);
+      speed.record_duration(50, 10);
     }
     CPPUNIT_ASSERT(speed.slowdown() > 4.5 && speed.slowdown() <= 5);
   }
 
   void one_long_answer_moves_little() {
     replica_speed speed;
-    speed.note_time(10000, 10);
+    speed.record_duration(10000, 10);
     CPPUNIT_ASSERT(speed.slowdown() < 2);
   }
 
@@ -176,7 +176,7 @@
     const timestamp start = timestamp_from(1000);
     CPPUNIT_ASSERT_EQUAL(0.0, speed.wait_ms(start));
     for (int turn = 0; turn < 20; ++turn) {
-      speed.note_first_event(200, start);
+      speed.record_first_event(200, start);
     }
     CPPUNIT_ASSERT(speed.wait_ms(start) > 150);
     CPPUNIT_ASSERT(speed.wait_ms(start + duration_ms{5000}) < 10);
