--- a/src/balance/load_estimate.cpp
+++ b/src/balance/load_estimate.cpp
@@ -21,13 +21,14 @@
   return std::exp(-std::max(age, 0.0) / std::max(turn_ms, shortest_turn_ms));
 }
 
-/// The level up to which `newcomers` fill the lowest of the loads.
-double level_after(std::vector<double> loads, double newcomers) {
+/// The level up to which `expected_arrivals` fill the lowest of the loads.
+double level_after(std::vector<double> loads, double expected_arrivals) {
   std::sort(loads.begin(), loads.end());
   double below = 0; // sum of the loads under the level
   for (std::size_t count = 1; count <= loads.size(); ++count) {
     below += loads[count - 1];
-    const double level = (newcomers + below) / static_cast<double>(count);
+    const double level =
+        (expected_arrivals + below) / static_cast<double>(count);
     if (count == loads.size() || level <= loads[count]) {
       return level;
     }
@@ -53,9 +54,9 @@
   const double level = level_after(left, ended);
   for (std::size_t index = 0; index < left.size(); ++index) {
     load_estimate &each = estimates[index];
-    each.newcomers = std::max(level - left[index], 0.0);
-    each.running = left[index] + each.newcomers;
-    each.spread = std::sqrt(each.spread + each.newcomers); // Poisson
+    each.expected_arrivals = std::max(level - left[index], 0.0);
+    each.running = left[index] + each.expected_arrivals;
+    each.spread = std::sqrt(each.spread + each.expected_arrivals); // Poisson
   }
   return estimates;
 }
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -344,7 +344,7 @@
     balance::candidate &view = candidates[index];
     view.running += others[index].running;
     view.running_spread = others[index].spread;
-    view.draw_weight = others[index].newcomers;
+    view.draw_weight = others[index].expected_arrivals;
     if (options_.policies.engine_wait) {
       view.wait_ms = engines[index]->speed.wait_ms(now);
     }
--- a/src/routing/zone_shift.cpp
+++ b/src/routing/zone_shift.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /// What of the time limit the move itself takes at most: long enough that
-/// engines read the prompts of the newcomers beside their own turns, short
-/// enough that an operator sees the zone empty soon.
+/// engines read the prompts of the expected_arrivals beside their own turns,
+/// short enough that an operator sees the zone empty soon.
 constexpr double longest_share = 0.3;
 /// By this part of the limit the zone gets nothing, whenever the drain was
 /// heard of: the rest is for requests on their way, for processes that stand
--- a/tests/balance/stale_loads_test.cpp
+++ b/tests/balance/stale_loads_test.cpp
@@ -147,7 +147,7 @@
   for (std::size_t engine = 0; engine < nodes.size(); ++engine) {
     nodes[engine].running = view.own[engine] + others[engine].running;
     nodes[engine].running_spread = others[engine].spread;
-    nodes[engine].draw_weight = others[engine].newcomers;
+    nodes[engine].draw_weight = others[engine].expected_arrivals;
   }
   return *choose_engine(nodes, random, engines);
 }
@@ -192,9 +192,9 @@
     const std::vector<reported_load> reports{{8, half}, {0, half}, {0, half}};
     const auto loads = estimate_loads(reports, now_, turn_ms);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(4, loads[0].running, 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0, loads[0].newcomers, 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0, loads[0].expected_arrivals, 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(2, loads[1].running, 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(2, loads[2].newcomers, 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(2, loads[2].expected_arrivals, 0.01);
   }
 
   void without_reports_nothing_is_known() {
@@ -244,7 +244,7 @@
     for (std::size_t engine = 0; engine < nodes.size(); ++engine) {
       nodes[engine].running = others[engine].running;
       nodes[engine].running_spread = others[engine].spread;
-      nodes[engine].draw_weight = others[engine].newcomers;
+      nodes[engine].draw_weight = others[engine].expected_arrivals;
       nodes[engine].missing_tokens = engine == 0 ? 500 : 4000;
     }
     constexpr std::uint64_t draws = 2000;
