--- a/src/balance/prefix_view.cpp
+++ b/src/balance/prefix_view.cpp
@@ -5,8 +5,8 @@
 
 namespace heathtrestle::balance {
 
-std::vector<prompt_part> beginning_of(const std::vector<prompt_part> &parts,
-                                      std::uint64_t tokens) {
+std::vector<prompt_part> truncate_prompt(const std::vector<prompt_part> &parts,
+                                         std::uint64_t tokens) {
   std::vector<prompt_part> beginning;
   for (const prompt_part &part : parts) {
     if (tokens == 0) {
--- a/src/balance/prefix_view.hpp
+++ b/src/balance/prefix_view.hpp
@@ -23,8 +23,8 @@
 };
 
 /// The first tokens of a prompt, so many at most.
-std::vector<prompt_part> beginning_of(const std::vector<prompt_part> &parts,
-                                      std::uint64_t tokens);
+std::vector<prompt_part> truncate_prompt(const std::vector<prompt_part> &parts,
+                                         std::uint64_t tokens);
 
 class prefix_view {
 public:
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -462,7 +462,7 @@
                place.instance == each->record.id.value();
       });
   if (found != instances.end()) {
-    (*found)->prefixes.record(balance::beginning_of(prompt, place.tokens));
+    (*found)->prefixes.record(balance::truncate_prompt(prompt, place.tokens));
   }
 }
 
