--- a/src/records/permit_desk.cpp
+++ b/src/records/permit_desk.cpp
@@ -88,10 +88,10 @@
   const bool crowded = needed > limit * share_before_pacing +
                                     of.terms.slack() * slack_before_pacing;
   const double per_second = rate * paced_share / requests_per_program();
-  if (of.pace.take(per_second, now) || !crowded) {
+  if (of.pace.try_take(per_second, now) || !crowded) {
     return false;
   }
-  refuse(of, question, true, of.pace.next(per_second, now) - now);
+  refuse(of, question, true, of.pace.next_token_at(per_second, now) - now);
   return true;
 }
 
--- a/src/records/permit_desk.hpp
+++ b/src/records/permit_desk.hpp
@@ -17,9 +17,9 @@
 #pragma once
 
 #include "base/time.hpp"
-#include "tenants/pacer.hpp"
 #include "tenants/quota_account.hpp"
 #include "tenants/sliding_count.hpp"
+#include "tenants/token_bucket.hpp"
 #include "wire/messages.hpp"
 
 #include <cstdint>
@@ -88,7 +88,7 @@
     std::deque<permit_question> waiting;
     tenants::sliding_count recent;   // asked for
     tenants::sliding_count programs; // begun
-    tenants::pacer pace;             // of programs
+    tenants::token_bucket pace;      // of programs
     timestamp asked{};
   };
 
--- a/src/tenants/pacer.hpp
+++ b/src/tenants/token_bucket.hpp
@@ -8,15 +8,15 @@
 
 namespace heathtrestle::tenants {
 
-class pacer {
+class token_bucket {
 public:
   /// @param credit events that may pass at once, from 0 to 1. Where many pace
   /// their parts of one rate, different credits keep them from passing
   /// together.
-  explicit pacer(double credit) : credit_(credit) {}
+  explicit token_bucket(double credit) : credit_(credit) {}
 
   /// @return false when the event comes too early; it is not counted then.
-  bool take(double per_second, timestamp now) {
+  bool try_take(double per_second, timestamp now) {
     accrue(per_second, now);
     if (credit_ < 1) {
       return false;
@@ -26,7 +26,8 @@
   }
 
   /// When the next event may pass.
-  [[nodiscard]] timestamp next(double per_second, timestamp now) const {
+  [[nodiscard]] timestamp next_token_at(double per_second,
+                                        timestamp now) const {
     constexpr double longest_s = 60;
     const double seconds = per_second > 0
                                ? std::min((1 - credit_) / per_second, longest_s)
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -5,8 +5,8 @@
 #include "balance/slow_start.hpp"
 #include "base/ids.hpp"
 #include "records/load_board.hpp"
-#include "tenants/pacer.hpp"
 #include "tenants/sliding_count.hpp"
+#include "tenants/token_bucket.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -80,12 +80,13 @@
 class by_demand final : public policy {
 public:
   by_demand(double rate, double credit) : rate_(rate) {
-    paces_.fill(tenants::pacer(credit));
+    paces_.fill(tenants::token_bucket(credit));
   }
   bool admit(std::size_t replica, timestamp now) override {
     asked_.add(now);
     const double own = asked_.sum(now);
-    return heard_ && paces_[replica].take(rate_ * own / (own + others_), now);
+    return heard_ &&
+           paces_[replica].try_take(rate_ * own / (own + others_), now);
   }
   std::uint32_t demand(timestamp now) override { return asked_.sum(now); }
   void take(const wire::SharedLoads &, std::uint32_t others,
@@ -99,9 +100,10 @@
   bool heard_ = false;
   double others_ = 0;
   tenants::sliding_count asked_{one_second};
-  std::array<tenants::pacer, replicas> paces_{
-      tenants::pacer(0), tenants::pacer(0), tenants::pacer(0),
-      tenants::pacer(0), tenants::pacer(0), tenants::pacer(0)};
+  std::array<tenants::token_bucket, replicas> paces_{
+      tenants::token_bucket(0), tenants::token_bucket(0),
+      tenants::token_bucket(0), tenants::token_bucket(0),
+      tenants::token_bucket(0), tenants::token_bucket(0)};
 };
 
 /// Requests come to gateways whose other replicas are full: each goes to a cold
