--- a/src/records/permit_desk.cpp
+++ b/src/records/permit_desk.cpp
@@ -40,7 +40,7 @@
 permit_desk::counter &permit_desk::counter_of(const wire::TakePermit &wanted) {
   const duration_ms window{std::max<std::uint32_t>(
       wanted.terms().window_ms(),
-      static_cast<std::uint32_t>(tenants::sliding_count::slices))};
+      static_cast<std::uint32_t>(tenants::sliding_window_counter::slices))};
   counter &of = counters_.try_emplace(wanted.tenant(), window).first->second;
   if (wanted.terms().version() > of.terms.version()) {
     of.terms = wanted.terms();
--- a/src/records/permit_desk.hpp
+++ b/src/records/permit_desk.hpp
@@ -18,7 +18,7 @@
 
 #include "base/time.hpp"
 #include "tenants/quota_account.hpp"
-#include "tenants/sliding_count.hpp"
+#include "tenants/sliding_window_counter.hpp"
 #include "tenants/token_bucket.hpp"
 #include "wire/messages.hpp"
 
@@ -86,9 +86,9 @@
     timestamp free_at{};
     wire::ReservedQuota last;
     std::deque<permit_question> waiting;
-    tenants::sliding_count recent;   // asked for
-    tenants::sliding_count programs; // begun
-    tenants::token_bucket pace;      // of programs
+    tenants::sliding_window_counter recent;   // asked for
+    tenants::sliding_window_counter programs; // begun
+    tenants::token_bucket pace;               // of programs
     timestamp asked{};
   };
 
--- a/src/tenants/sliding_count.hpp
+++ b/src/tenants/sliding_window_counter.hpp
@@ -9,13 +9,14 @@
 
 namespace heathtrestle::tenants {
 
-class sliding_count {
+class sliding_window_counter {
 public:
   /// Slices of a window: how finely it slides.
   static constexpr std::int64_t slices = 20;
 
   /// @param window at least one millisecond a slice.
-  explicit sliding_count(duration_ms window) : slice_(window / slices) {}
+  explicit sliding_window_counter(duration_ms window)
+      : slice_(window / slices) {}
 
   void add(timestamp now, std::uint32_t count = 1) {
     advance(now);
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -5,7 +5,7 @@
 #include "balance/slow_start.hpp"
 #include "base/ids.hpp"
 #include "records/load_board.hpp"
-#include "tenants/sliding_count.hpp"
+#include "tenants/sliding_window_counter.hpp"
 #include "tenants/token_bucket.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -99,7 +99,7 @@
   double rate_;
   bool heard_ = false;
   double others_ = 0;
-  tenants::sliding_count asked_{one_second};
+  tenants::sliding_window_counter asked_{one_second};
   std::array<tenants::token_bucket, replicas> paces_{
       tenants::token_bucket(0), tenants::token_bucket(0),
       tenants::token_bucket(0), tenants::token_bucket(0),
