--- a/src/forwarding/tenant_gate.cpp
+++ b/src/forwarding/tenant_gate.cpp
@@ -36,7 +36,7 @@
   const tenants::tenant *tenant = routes.keys().find(request.key.value());
   if (needs_key(route, routes)) {
     // Whether a key is unknown is no more certain than that it is known.
-    if (!freshness_.holds(now)) {
+    if (!freshness_.keys_valid(now)) {
       return refused{.cause = refusal_cause::stale_keys};
     }
     if (tenant == nullptr) {
@@ -85,7 +85,7 @@
   if (!needs_key(route, routes)) {
     return std::nullopt;
   }
-  if (!freshness_.holds(now)) {
+  if (!freshness_.keys_valid(now)) {
     return refusal_cause::stale_keys;
   }
   const bool held = routes.keys().find(request.key.value()) != nullptr;
--- a/src/forwarding/tenant_gate.hpp
+++ b/src/forwarding/tenant_gate.hpp
@@ -7,7 +7,7 @@
 #include "forwarding/client_request.hpp"
 #include "records/turn_ledger.hpp"
 #include "routing/route_table.hpp"
-#include "tenants/freshness.hpp"
+#include "tenants/key_freshness.hpp"
 #include "tenants/permit.hpp"
 #include "tenants/recent_programs.hpp"
 
@@ -97,9 +97,9 @@
   /// False while requests with keys cannot be served.
   [[nodiscard]] bool keys_hold(const routing::route_table &routes,
                                timestamp now) const {
-    return routes.keys().empty() || freshness_.holds(now);
+    return routes.keys().empty() || freshness_.keys_valid(now);
   }
-  [[nodiscard]] const tenants::freshness &freshness() const {
+  [[nodiscard]] const tenants::key_freshness &freshness() const {
     return freshness_;
   }
 
@@ -111,7 +111,7 @@
   terms_of(const tenants::request_quota &quota,
            const routing::route_table &routes) const;
 
-  tenants::freshness freshness_;
+  tenants::key_freshness freshness_;
   quota_counting counting_;
   tenants::recent_programs programs_;
 };
--- a/src/tenants/freshness.hpp
+++ b/src/tenants/key_freshness.hpp
@@ -19,11 +19,11 @@
 /// is let through at the very end still has to reach its replica.
 inline constexpr duration_ms revocation_margin{150};
 
-class freshness {
+class key_freshness {
 public:
   /// @param revocation time within which a key that was taken away must stop
   /// working; zero when there is no such promise.
-  explicit freshness(duration_ms revocation) : revocation_(revocation) {}
+  explicit key_freshness(duration_ms revocation) : revocation_(revocation) {}
 
   /// The copy was current at `moment` or later. Earlier moments change nothing.
   void confirm(timestamp moment) {
@@ -31,7 +31,7 @@
   }
 
   /// True while keys may be relied on.
-  [[nodiscard]] bool holds(timestamp now) const {
+  [[nodiscard]] bool keys_valid(timestamp now) const {
     const bool promised = revocation_.count() > 0;
     return !promised ||
            (confirmed_ && now < *confirmed_ + revocation_ - revocation_margin);
--- a/tests/tenants/freshness_test.cpp
+++ b/tests/tenants/key_freshness_test.cpp
@@ -1,5 +1,5 @@
 // How long what is known of keys can be relied on.
-#include "tenants/freshness.hpp"
+#include "tenants/key_freshness.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -8,25 +8,25 @@
 
 const timestamp start = timestamp_from(1000000);
 
-class freshness_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(freshness_test);
+class key_freshness_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(key_freshness_test);
   CPPUNIT_TEST(keys_hold_as_long_as_they_are_confirmed);
   CPPUNIT_TEST_SUITE_END();
 
 public:
   void keys_hold_as_long_as_they_are_confirmed() {
     constexpr duration_ms revocation{5000};
-    freshness known(revocation);
-    CPPUNIT_ASSERT(!known.holds(start));
+    key_freshness known(revocation);
+    CPPUNIT_ASSERT(!known.keys_valid(start));
     known.confirm(start);
     known.confirm(start - duration_ms{1000}); // an older answer
-    CPPUNIT_ASSERT(known.holds(start + duration_ms{4600}));
-    CPPUNIT_ASSERT(!known.holds(start + revocation - revocation_margin));
-    CPPUNIT_ASSERT(freshness(duration_ms{0}).holds(start));
+    CPPUNIT_ASSERT(known.keys_valid(start + duration_ms{4600}));
+    CPPUNIT_ASSERT(!known.keys_valid(start + revocation - revocation_margin));
+    CPPUNIT_ASSERT(key_freshness(duration_ms{0}).keys_valid(start));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(freshness_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(key_freshness_test);
 
 } // namespace
 } // namespace heathtrestle::tenants
