--- a/src/forwarding/client_request.cpp
+++ b/src/forwarding/client_request.cpp
@@ -96,8 +96,8 @@
   };
   request.attempt_id = field(names.attempt_id);
   if (message.count(names.credential) == 1) {
-    request.key = tenants::api_key{std::string(
-        tenants::key_in(field(names.credential), names.credential_scheme))};
+    request.key = tenants::api_key{std::string(tenants::parse_credential(
+        field(names.credential), names.credential_scheme))};
   }
   request.program = field(names.program_id);
   request.client_deadline = duration(names.deadline_ms);
--- a/src/tenants/key_ring.cpp
+++ b/src/tenants/key_ring.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-result<void> check_tenants(const std::vector<tenant> &tenants) {
+result<void> validate_tenants(const std::vector<tenant> &tenants) {
   std::set<tenant_id> names;
   std::set<api_key> keys;
   for (const tenant &each : tenants) {
@@ -72,7 +72,8 @@
   return found == by_digest_.end() ? nullptr : &tenants_[found->second];
 }
 
-std::string_view key_in(std::string_view field, std::string_view scheme) {
+std::string_view parse_credential(std::string_view field,
+                                  std::string_view scheme) {
   const bool has_scheme =
       field.size() > scheme.size() && field[scheme.size()] == ' ' &&
       boost::beast::iequals(field.substr(0, scheme.size()), scheme);
--- a/src/tenants/key_ring.hpp
+++ b/src/tenants/key_ring.hpp
@@ -13,7 +13,7 @@
 /// Checks what the operator wrote.
 /// @return `invalid_request` naming the tenant: an empty or repeated name, an
 /// empty key, a key that two tenants hold, or a quota that is no number.
-result<void> check_tenants(const std::vector<tenant> &tenants);
+result<void> validate_tenants(const std::vector<tenant> &tenants);
 
 class key_ring {
 public:
@@ -50,6 +50,7 @@
 /// The key in a header field that holds a credential.
 /// @param field "SCHEME KEY"; the scheme's case is ignored.
 /// @return an empty view when the field is anything else.
-std::string_view key_in(std::string_view field, std::string_view scheme);
+std::string_view parse_credential(std::string_view field,
+                                  std::string_view scheme);
 
 } // namespace heathtrestle::tenants
--- a/tests/tenants/key_ring_test.cpp
+++ b/tests/tenants/key_ring_test.cpp
@@ -18,7 +18,7 @@
 }
 
 std::string complaint(const std::vector<tenant> &tenants) {
-  const auto checked = check_tenants(tenants);
+  const auto checked = validate_tenants(tenants);
   return checked ? std::string() : checked.error().message;
 }
 
@@ -86,14 +86,14 @@
   }
 
   void a_key_is_read_from_its_field() {
-    CPPUNIT_ASSERT(key_in("Bearer abc", "Bearer") == "abc");
-    CPPUNIT_ASSERT(key_in("bearer  abc ", "Bearer") == "abc");
+    CPPUNIT_ASSERT(parse_credential("Bearer abc", "Bearer") == "abc");
+    CPPUNIT_ASSERT(parse_credential("bearer  abc ", "Bearer") == "abc");
   }
 
   void malformed_fields_hold_no_key() {
     for (const char *field : {"", "Bearer", "Bearer ", "abc", "Basic abc",
                               "Bearerabc", "Bearer a b", "Bearer a,b"}) {
-      CPPUNIT_ASSERT_MESSAGE(field, key_in(field, "Bearer").empty());
+      CPPUNIT_ASSERT_MESSAGE(field, parse_credential(field, "Bearer").empty());
     }
   }
 
@@ -108,7 +108,7 @@
       for (std::size_t place = 0; place < length; ++place) {
         field += alphabet[random() % alphabet.size()];
       }
-      const std::string_view key = key_in(field, "Bearer");
+      const std::string_view key = parse_credential(field, "Bearer");
       CPPUNIT_ASSERT(key.find_first_of(" \t,") == std::string_view::npos);
     }
   }
