--- a/src/records/quota_messages.cpp
+++ b/src/records/quota_messages.cpp
@@ -60,7 +60,7 @@
   message.set_number(made.number);
   message.set_granted(made.granted);
   message.set_counted(made.counted);
-  message.set_most(made.most);
+  message.set_most(made.max_permits);
   message.set_limit(made.limit);
   message.set_free_after_ms(
       static_cast<std::uint32_t>(made.free_after.count()));
--- a/src/tenants/quota_account.cpp
+++ b/src/tenants/quota_account.cpp
@@ -24,9 +24,10 @@
   settle(request);
   forget_old(now);
   state_.reserved = request.kept;
-  const std::uint64_t most_now = most(now);
+  const std::uint64_t max_permits_now = max_permits(now);
   const std::uint64_t counted_now = counted(now);
-  const std::uint64_t left = most_now - std::min(most_now, counted_now);
+  const std::uint64_t left =
+      max_permits_now - std::min(max_permits_now, counted_now);
   const auto granted =
       static_cast<std::uint32_t>(std::min<std::uint64_t>(left, request.wanted));
   state_.reserved += granted;
@@ -35,7 +36,7 @@
   return {.number = state_.number,
           .granted = granted,
           .counted = counted_now + granted,
-          .most = most_now,
+          .max_permits = max_permits_now,
           .limit = limit(now),
           .free_after =
               granted < request.wanted ? free_after(now) : duration_ms{0}};
@@ -120,7 +121,7 @@
   return (granted / thousandths + burst) / thousandths;
 }
 
-std::uint64_t quota_account::most(quota_time now) const {
+std::uint64_t quota_account::max_permits(quota_time now) const {
   if (state_.terms.empty()) {
     return 0;
   }
@@ -146,7 +147,7 @@
 
 duration_ms quota_account::free_after(quota_time now) const {
   std::uint64_t over = counted(now) + 1;
-  const std::uint64_t allowed = most(now);
+  const std::uint64_t allowed = max_permits(now);
   quota_time free_at = now;
   for (const auto &[slice, permits] : state_.given) {
     if (over <= allowed) {
--- a/src/tenants/quota_account.hpp
+++ b/src/tenants/quota_account.hpp
@@ -61,7 +61,7 @@
   /// Permits that count at present, these included.
   std::uint64_t counted = 0;
   /// The most that may count, and how many of these are the limit itself.
-  std::uint64_t most = 0;
+  std::uint64_t max_permits = 0;
   std::uint64_t limit = 0;
   /// When a permit is free again at the latest; zero when there are any left.
   duration_ms free_after{0};
@@ -92,7 +92,7 @@
   reservation reserve(const reservation_request &request, quota_time now);
 
   /// The most permits that may count at `now`.
-  [[nodiscard]] std::uint64_t most(quota_time now) const;
+  [[nodiscard]] std::uint64_t max_permits(quota_time now) const;
   /// What the quota grants within the window that ends at `now`. Where it was
   /// lowered the earlier one counts for the time before, so that what was sent
   /// rightly doesn't shut the tenant out.
