--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -82,7 +82,7 @@
 /// they bear until they are warm.
 struct slow_start_profile {
   /// How long a replica takes to warm up after a start.
-  duration_ms lasts{0};
+  duration_ms duration{0};
   /// Requests a second that one bears meanwhile.
   double requests_per_second = 0;
 
--- a/tests/forwarding/request_exchange_test.cpp
+++ b/tests/forwarding/request_exchange_test.cpp
@@ -191,8 +191,8 @@
     routing::service service;
     service.id = routing::service_id{"s"};
     service.engine = routing::engine_profile{.slots = 4, .tokens_per_event = 5};
-    service.slow_start = routing::slow_start_profile{.lasts = duration_ms{3000},
-                                                     .requests_per_second = 4};
+    service.slow_start = routing::slow_start_profile{
+        .duration = duration_ms{3000}, .requests_per_second = 4};
     settings.services = {service};
     gateway_->apply_routes(settings);
   }
