--- a/src/forwarding/gateway.cpp
+++ b/src/forwarding/gateway.cpp
@@ -44,12 +44,12 @@
 }
 
 void gateway::note_homes(const routing::configuration &settings) {
-  const bool moved =
-      routes_ != nullptr && !routing::same_homes(routes_->settings(), settings);
+  const bool moved = routes_ != nullptr &&
+                     !routing::same_home_regions(routes_->settings(), settings);
   if (moved) {
     turns_.clear(); // copies only: what may still be read here is asked for
   }
-  auto unknown = routing::unknown_homes(settings, replicas_.places());
+  auto unknown = routing::unknown_home_regions(settings, replicas_.places());
   if (unknown != unknown_homes_ && !unknown.empty()) {
     logging::line(logging::event::home_region_unknown)
         .field("version", settings.version.value())
--- a/src/routing/home_regions.cpp
+++ b/src/routing/home_regions.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-std::set<std::string> unknown_homes(const configuration &settings,
-                                    const topology &places) {
+std::set<std::string> unknown_home_regions(const configuration &settings,
+                                           const topology &places) {
   std::set<std::string> unknown;
   for (const homes_by_name &homes :
        {homes_of_routes(settings), homes_of_tenants(settings)}) {
@@ -47,7 +47,7 @@
   return unknown;
 }
 
-bool same_homes(const configuration &left, const configuration &right) {
+bool same_home_regions(const configuration &left, const configuration &right) {
   return homes_of_routes(left) == homes_of_routes(right) &&
          homes_of_tenants(left) == homes_of_tenants(right);
 }
--- a/tests/routing/home_regions_test.cpp
+++ b/tests/routing/home_regions_test.cpp
@@ -27,21 +27,22 @@
 
 public:
   void a_home_in_which_no_zone_lies_is_unknown() {
-    CPPUNIT_ASSERT(unknown_homes(with_homes({"a"}, {"b"}), places_).empty());
+    CPPUNIT_ASSERT(
+        unknown_home_regions(with_homes({"a"}, {"b"}), places_).empty());
     const std::set<std::string> both{"c", "d"};
-    CPPUNIT_ASSERT(unknown_homes(with_homes({"a", "c"}, {"d"}), places_) ==
-                   both);
+    CPPUNIT_ASSERT(
+        unknown_home_regions(with_homes({"a", "c"}, {"d"}), places_) == both);
     // A process that was told of no regions knows none by name.
     CPPUNIT_ASSERT(
-        !unknown_homes(with_homes({"a"}, {}), topology("a1")).empty());
+        !unknown_home_regions(with_homes({"a"}, {}), topology("a1")).empty());
   }
 
   void only_a_change_of_homes_is_a_move() {
     configuration changed = with_homes({"a"}, {"b"});
     changed.routes.back().timeout = duration_ms{1};
-    CPPUNIT_ASSERT(same_homes(with_homes({"a"}, {"b"}), changed));
-    CPPUNIT_ASSERT(!same_homes(with_homes({"b"}, {"b"}), changed));
-    CPPUNIT_ASSERT(!same_homes(with_homes({"a"}, {}), changed));
+    CPPUNIT_ASSERT(same_home_regions(with_homes({"a"}, {"b"}), changed));
+    CPPUNIT_ASSERT(!same_home_regions(with_homes({"b"}, {"b"}), changed));
+    CPPUNIT_ASSERT(!same_home_regions(with_homes({"a"}, {}), changed));
   }
 };
 
