--- a/src/routing/incarnation.cpp
+++ b/src/routing/incarnation.cpp
@@ -10,8 +10,8 @@
              : fmt::format("{}@{}", start.id.value(), start.born_ms);
 }
 
-void ended_starts::note(const incarnation &ended) {
-  const std::uint64_t known = newest(ended.id);
+void ended_incarnations::add(const incarnation &ended) {
+  const std::uint64_t known = latest_born_ms(ended.id);
   if (ended.born_ms <= known) {
     return;
   }
@@ -24,7 +24,7 @@
   }
 }
 
-std::uint64_t ended_starts::newest(const instance_id &id) const {
+std::uint64_t ended_incarnations::latest_born_ms(const instance_id &id) const {
   const auto found = by_id_.find(id);
   return found == by_id_.end() ? 0 : found->second;
 }
--- a/src/routing/incarnation.hpp
+++ b/src/routing/incarnation.hpp
@@ -31,14 +31,14 @@
 /// that arrives late does not bring an earlier one back. Bounded: the ids that
 /// started longest ago are forgotten first, for their late entries are the
 /// least likely to be still on their way.
-class ended_starts {
+class ended_incarnations {
 public:
-  explicit ended_starts(std::size_t most) : most_(most) {}
+  explicit ended_incarnations(std::size_t most) : most_(most) {}
 
   /// An incarnation has left; one without a told start leaves no trace.
-  void note(const incarnation &ended);
+  void add(const incarnation &ended);
   /// @return 0 when nothing is known of the id.
-  [[nodiscard]] std::uint64_t newest(const instance_id &id) const;
+  [[nodiscard]] std::uint64_t latest_born_ms(const instance_id &id) const;
   [[nodiscard]] std::size_t size() const { return by_id_.size(); }
 
 private:
--- a/src/routing/instance_directory.cpp
+++ b/src/routing/instance_directory.cpp
@@ -9,7 +9,7 @@
 put_outcome instance_directory::put(instance_record record) {
   const auto known = by_id_.find(record.id);
   if (known == by_id_.end()) {
-    return record.born_ms < ended_.newest(record.id)
+    return record.born_ms < ended_.latest_born_ms(record.id)
                ? put_outcome::outdated
                : add(std::move(record), put_outcome::added);
   }
@@ -53,7 +53,7 @@
   const instance_ptr removed = known->second;
   by_id_.erase(known);
   removed->listed = false;
-  ended_.note(removed->record.start());
+  ended_.add(removed->record.start());
   std::erase(by_service_[removed->record.service], removed);
   return true;
 }
--- a/src/routing/instance_directory.hpp
+++ b/src/routing/instance_directory.hpp
@@ -42,7 +42,7 @@
 /// Ids whose last start is remembered after they have left: a few times the
 /// replicas of a large fleet, all of which may be replaced within the time that
 /// a late entry can be on its way.
-inline constexpr std::size_t most_ended_starts = 4096;
+inline constexpr std::size_t max_ended_incarnations = 4096;
 
 /// Tokens that an engine is taken to keep whose configuration does not tell:
 /// a few long conversations, so that a wrong guess is cheap.
@@ -114,7 +114,7 @@
 private:
   put_outcome add(instance_record record, put_outcome outcome);
 
-  ended_starts ended_{most_ended_starts};
+  ended_incarnations ended_{max_ended_incarnations};
   std::map<instance_id, instance_ptr> by_id_;
   std::map<service_id, std::vector<instance_ptr>> by_service_;
 };
--- a/tests/routing/instance_directory_test.cpp
+++ b/tests/routing/instance_directory_test.cpp
@@ -155,14 +155,16 @@
   }
 
   void the_memory_of_ended_starts_is_bounded() {
-    ended_starts ended(2);
-    ended.note({.id = instance_id{"a"}, .born_ms = 10});
-    ended.note({.id = instance_id{"b"}, .born_ms = 30});
-    ended.note({.id = instance_id{"a"}, .born_ms = 20});
-    ended.note({.id = instance_id{"c"}, .born_ms = 40});
+    ended_incarnations ended(2);
+    ended.add({.id = instance_id{"a"}, .born_ms = 10});
+    ended.add({.id = instance_id{"b"}, .born_ms = 30});
+    ended.add({.id = instance_id{"a"}, .born_ms = 20});
+    ended.add({.id = instance_id{"c"}, .born_ms = 40});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ended.size());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, ended.newest(instance_id{"a"}));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{30}, ended.newest(instance_id{"b"}));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
+                         ended.latest_born_ms(instance_id{"a"}));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{30},
+                         ended.latest_born_ms(instance_id{"b"}));
   }
 };
 
