--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -82,7 +82,7 @@
       slow ? balance::admissions_per_second(
                  known->slow_start->requests_per_second, options_.slow_start)
            : 0;
-  for (const routing::instance_ptr &each : directory_.of(service)) {
+  for (const routing::instance_ptr &each : directory_.replicas_of(service)) {
     each->slow_start.set_admissions(admissions);
   }
 }
@@ -95,7 +95,7 @@
   if (!told) {
     return;
   }
-  for (const routing::instance_ptr &each : directory_.of(service)) {
+  for (const routing::instance_ptr &each : directory_.replicas_of(service)) {
     each->prefixes.set_capacity(known->engine->memory_tokens);
   }
 }
@@ -117,11 +117,11 @@
       log_outdated(told);
     }
     return;
-  case routing::put_outcome::without_start:
+  case routing::put_outcome::missing_start_time:
     note_unlisted(before);
     note_rejected(told.id, "tells no start although it did before", true);
     return;
-  case routing::put_outcome::started_again:
+  case routing::put_outcome::restarted:
     if (before != nullptr) {
       finishing_.push_back(before);
       on_started_again(*before, told);
@@ -369,7 +369,7 @@
                                            ? place_of(request, drains_, now)
                                            : routing::traffic_place{};
   timestamp free_at = timestamp::max();
-  for (const routing::instance_ptr &each : directory_.of(service)) {
+  for (const routing::instance_ptr &each : directory_.replicas_of(service)) {
     const routing::incarnation start = each->record.start();
     const bool wanted = step.only.empty() || step.only.contains(start);
     if (!wanted) {
@@ -453,7 +453,7 @@
   if (!options_.policies.turn_places) {
     return;
   }
-  const auto &instances = directory_.of(service);
+  const auto &instances = directory_.replicas_of(service);
   const auto found =
       std::find_if(instances.begin(), instances.end(), [&](const auto &each) {
         // Records of gateways that knew no starts name the bare id; it is
@@ -469,7 +469,7 @@
 wire::ReplicaLoads replica_selector::engine_loads() const {
   wire::ReplicaLoads loads;
   for (const auto &[service, model] : engine_models_) {
-    for (const routing::instance_ptr &each : directory_.of(service)) {
+    for (const routing::instance_ptr &each : directory_.replicas_of(service)) {
       if (each->in_flight > 0) {
         loads.add_replicas(load_key(*each));
         loads.add_running(each->in_flight);
--- a/src/forwarding/request_exchange.cpp
+++ b/src/forwarding/request_exchange.cpp
@@ -415,7 +415,7 @@
 
 void request_exchange::forget_ended(const send_step &step) {
   for (const routing::incarnation &start : step.only) {
-    if (!gateway_.replicas().directory().lists(start)) {
+    if (!gateway_.replicas().directory().contains(start)) {
       plan_->on_instance_ended(start);
     }
   }
--- a/src/routing/instance_directory.cpp
+++ b/src/routing/instance_directory.cpp
@@ -16,14 +16,14 @@
   instance_record &present = known->second->record;
   if (record.born_ms == 0 && present.born_ms != 0) {
     remove(record.id);
-    return put_outcome::without_start;
+    return put_outcome::missing_start_time;
   }
   if (record.born_ms < present.born_ms) {
     return put_outcome::outdated;
   }
   if (record.born_ms > present.born_ms) {
     remove(record.id);
-    return add(std::move(record), put_outcome::started_again);
+    return add(std::move(record), put_outcome::restarted);
   }
   if (record.service != present.service) {
     remove(record.id);
@@ -82,13 +82,13 @@
   return known == by_id_.end() ? nullptr : known->second;
 }
 
-bool instance_directory::lists(const incarnation &start) const {
+bool instance_directory::contains(const incarnation &start) const {
   const instance_ptr known = find(start.id);
   return known != nullptr && known->record.start() == start;
 }
 
 const std::vector<instance_ptr> &
-instance_directory::of(const service_id &service) const {
+instance_directory::replicas_of(const service_id &service) const {
   static const std::vector<instance_ptr> none;
   const auto found = by_service_.find(service);
   return found == by_service_.end() ? none : found->second;
--- a/src/routing/instance_directory.hpp
+++ b/src/routing/instance_directory.hpp
@@ -80,12 +80,12 @@
   added,
   changed,
   /// The id has a later start: what was seen of the earlier one is forgotten.
-  started_again,
+  restarted,
   /// Of an earlier start than one that was seen: not taken in.
   outdated,
   /// Tells no start although the listed one did, so the replica did not write
   /// it: that one is in use no longer.
-  without_start,
+  missing_start_time,
 };
 
 class instance_directory {
@@ -100,10 +100,10 @@
   /// @return null when no instance of that id is listed.
   [[nodiscard]] instance_ptr find(const instance_id &id) const;
   /// True while this very start is listed.
-  [[nodiscard]] bool lists(const incarnation &start) const;
+  [[nodiscard]] bool contains(const incarnation &start) const;
   /// The replicas of a service, those that drain included.
   [[nodiscard]] const std::vector<instance_ptr> &
-  of(const service_id &service) const;
+  replicas_of(const service_id &service) const;
   /// The replicas of all services.
   [[nodiscard]] const std::map<instance_id, instance_ptr> &all() const {
     return by_id_;
--- a/tests/forwarding/drain_monitor_test.cpp
+++ b/tests/forwarding/drain_monitor_test.cpp
@@ -71,7 +71,7 @@
     record.zone = "a";
     replicas_.put(record);
     const routing::instance_ptr replica =
-        replicas_.directory().of(routing::service_id{"s"}).front();
+        replicas_.directory().replicas_of(routing::service_id{"s"}).front();
     replica->in_flight = 1;
     handlers_.on_listing({.items = {request_for("a")}, .revision = 1});
     monitor_.check(steady_now());
--- a/tests/forwarding/request_exchange_test.cpp
+++ b/tests/forwarding/request_exchange_test.cpp
@@ -414,7 +414,7 @@
     gateway_->replicas().learn_place({.instance = "r1", .tokens = 100},
                                      routing::service_id{"s"}, {part});
     const auto &known =
-        gateway_->replicas().directory().of(routing::service_id{"s"});
+        gateway_->replicas().directory().replicas_of(routing::service_id{"s"});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
                          known.at(0)->prefixes.missing_tokens({part}));
     gateway_options options = gateway_->options();
@@ -426,7 +426,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000},
                          without.replicas()
                              .directory()
-                             .of(routing::service_id{"s"})
+                             .replicas_of(routing::service_id{"s"})
                              .at(0)
                              ->prefixes.missing_tokens({part}));
   }
--- a/tests/routing/instance_directory_test.cpp
+++ b/tests/routing/instance_directory_test.cpp
@@ -49,16 +49,17 @@
     instance_record draining = record("a", "s");
     draining.draining = true;
     directory.put(draining);
-    CPPUNIT_ASSERT(!directory.of(service_id{"s"}).front()->accepts_work());
+    CPPUNIT_ASSERT(
+        !directory.replicas_of(service_id{"s"}).front()->accepts_work());
   }
 
   void a_removed_instance_is_unlisted_for_its_requests_too() {
     instance_directory directory;
     directory.put(record("a", "s"));
-    const instance_ptr held = directory.of(service_id{"s"}).front();
+    const instance_ptr held = directory.replicas_of(service_id{"s"}).front();
     CPPUNIT_ASSERT(directory.remove(instance_id{"a"}));
     CPPUNIT_ASSERT(!held->accepts_work());
-    CPPUNIT_ASSERT(directory.of(service_id{"s"}).empty());
+    CPPUNIT_ASSERT(directory.replicas_of(service_id{"s"}).empty());
     CPPUNIT_ASSERT(!directory.remove(instance_id{"a"}));
   }
 
@@ -69,17 +70,18 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.size());
     CPPUNIT_ASSERT_EQUAL(
         std::string("b"),
-        directory.of(service_id{"s"}).front()->record.id.value());
+        directory.replicas_of(service_id{"s"}).front()->record.id.value());
   }
 
   void what_was_seen_of_an_instance_survives_its_updates() {
     instance_directory directory;
     directory.put(record("a", "s"));
-    directory.of(service_id{"s"}).front()->in_flight = 3;
+    directory.replicas_of(service_id{"s"}).front()->in_flight = 3;
     instance_record changed = record("a", "s");
     changed.draining = true;
     directory.put(changed);
-    CPPUNIT_ASSERT_EQUAL(3U, directory.of(service_id{"s"}).front()->in_flight);
+    CPPUNIT_ASSERT_EQUAL(
+        3U, directory.replicas_of(service_id{"s"}).front()->in_flight);
   }
 
   void a_new_start_knows_nothing_of_the_one_before() {
@@ -90,8 +92,7 @@
     before->consecutive_failures = 2;
     before->avoid_until = timestamp{} + duration_ms{1000};
     before->prefixes.record({{.id = 1, .tokens = 500}});
-    CPPUNIT_ASSERT(put_outcome::started_again ==
-                   directory.put(started("a", 200)));
+    CPPUNIT_ASSERT(put_outcome::restarted == directory.put(started("a", 200)));
     const instance_ptr after = directory.find(instance_id{"a"});
     CPPUNIT_ASSERT(!before->listed && after->listed);
     CPPUNIT_ASSERT_EQUAL(0U, after->in_flight);
@@ -99,7 +100,8 @@
     CPPUNIT_ASSERT(after->avoid_until == timestamp{});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{500}, after->prefixes.missing_tokens(
                                                  {{.id = 1, .tokens = 500}}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory.of(service_id{"s"}).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                         directory.replicas_of(service_id{"s"}).size());
   }
 
   void an_older_start_does_not_come_back() {
@@ -130,7 +132,7 @@
   void an_entry_that_hides_its_start_ends_the_one_known() {
     instance_directory directory;
     directory.put(started("a", 200));
-    CPPUNIT_ASSERT(put_outcome::without_start ==
+    CPPUNIT_ASSERT(put_outcome::missing_start_time ==
                    directory.put(started("a", 0)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, directory.size());
   }
@@ -150,8 +152,7 @@
     directory.remove(instance_id{"a"});
     CPPUNIT_ASSERT(put_outcome::added == directory.put(started("a", 0)));
     // A replica that is updated begins to tell.
-    CPPUNIT_ASSERT(put_outcome::started_again ==
-                   directory.put(started("a", 5)));
+    CPPUNIT_ASSERT(put_outcome::restarted == directory.put(started("a", 5)));
   }
 
   void the_memory_of_ended_starts_is_bounded() {
