--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -113,7 +113,7 @@
   case routing::put_outcome::unchanged:
     break;
   case routing::put_outcome::outdated:
-    if (rejected_.note(told.id.value(), "of an earlier start")) {
+    if (rejected_.record(told.id.value(), "of an earlier start")) {
       log_outdated(told);
     }
     return;
@@ -184,7 +184,7 @@
 void replica_selector::note_rejected(const routing::instance_id &id,
                                      const std::string &reason,
                                      bool was_listed) {
-  if (rejected_.note(id.value(), reason)) {
+  if (rejected_.record(id.value(), reason)) {
     logging::line(logging::event::instance_entry_rejected)
         .field("instance", id.value())
         .field("reason", reason)
@@ -293,7 +293,7 @@
       unlist(known.id);
     }
   }
-  rejected_.keep_only(named);
+  rejected_.retain_only(named);
   for (const routing::rejected_entry &each : rejected) {
     reject(routing::instance_id{each.name}, each.reason);
   }
--- a/src/routing/rejected_entries.cpp
+++ b/src/routing/rejected_entries.cpp
@@ -2,22 +2,22 @@
 
 namespace heathtrestle::routing {
 
-bool rejected_entries::note(const std::string &name,
-                            const std::string &reason) {
+bool rejected_entries::record(const std::string &name,
+                              const std::string &reason) {
   const auto known = reasons_.find(name);
   if (known != reasons_.end()) {
     const bool is_news = known->second != reason;
     known->second = reason;
     return is_news;
   }
-  if (reasons_.size() >= most_rejected_entries) {
+  if (reasons_.size() >= max_rejected_entries) {
     return false;
   }
   reasons_.emplace(name, reason);
   return true;
 }
 
-void rejected_entries::keep_only(const std::set<std::string> &listed) {
+void rejected_entries::retain_only(const std::set<std::string> &listed) {
   std::erase_if(reasons_, [&listed](const auto &each) {
     return !listed.contains(each.first);
   });
--- a/src/routing/rejected_entries.hpp
+++ b/src/routing/rejected_entries.hpp
@@ -18,17 +18,17 @@
 
 /// More are neither kept nor told one by one: an operator who sees this many
 /// looks for their writer, not at each of them.
-inline constexpr std::size_t most_rejected_entries = 256;
+inline constexpr std::size_t max_rejected_entries = 256;
 
 class rejected_entries {
 public:
   /// @return true when it is to be told: the entry was not rejected before, or
   /// for another reason.
-  bool note(const std::string &name, const std::string &reason);
+  bool record(const std::string &name, const std::string &reason);
   /// The entry has gone, or is sound.
   void forget(const std::string &name) { reasons_.erase(name); }
   /// Forgets the entries that a listing lacks.
-  void keep_only(const std::set<std::string> &listed);
+  void retain_only(const std::set<std::string> &listed);
   [[nodiscard]] std::size_t size() const { return reasons_.size(); }
 
 private:
