--- a/src/forwarding/drain_monitor.cpp
+++ b/src/forwarding/drain_monitor.cpp
@@ -91,13 +91,13 @@
   std::vector<std::string> quiet;
   for (const auto &[zone, drain] : replicas_.drains().all()) {
     const bool moved = now >= drain.shift.end;
-    if (!drain.quiet && moved && replicas_.running_in(zone) == 0) {
+    if (!drain.idle && moved && replicas_.running_in(zone) == 0) {
       quiet.push_back(zone);
     }
   }
   for (const std::string &zone : quiet) {
     const duration_ms taken = now - replicas_.drains().all().at(zone).heard;
-    replicas_.drains().set_quiet(zone);
+    replicas_.drains().set_idle(zone);
     logging::line(logging::event::zone_quiet)
         .field("zone", zone)
         .field("after_ms", taken.count())
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -50,9 +50,9 @@
 
 /// Turns of a program leave a drained zone together, so that its prompt is read
 /// again once. All else goes elsewhere at once: it has no conversation there.
-routing::traffic_place place_of(const client_request &request,
-                                const routing::zone_drains &drains,
-                                timestamp now) {
+routing::drain_position place_of(const client_request &request,
+                                 const routing::zone_drains &drains,
+                                 timestamp now) {
   const bool leaves_prompt = !drains.all().empty() && !request.prompt.empty() &&
                              !request.program.empty();
   return {.draw = leaves_prompt ? std::optional(stable_hash(request.program))
@@ -365,9 +365,9 @@
   std::vector<balance::candidate> candidates;
   common_bar bar;
   const bool first_attempt = step.only.empty() && step.excluded.empty();
-  const routing::traffic_place place = first_attempt
-                                           ? place_of(request, drains_, now)
-                                           : routing::traffic_place{};
+  const routing::drain_position place = first_attempt
+                                            ? place_of(request, drains_, now)
+                                            : routing::drain_position{};
   timestamp free_at = timestamp::max();
   for (const routing::instance_ptr &each : directory_.replicas_of(service)) {
     const routing::incarnation start = each->record.start();
@@ -403,7 +403,7 @@
 
 routing::exclusion replica_selector::exclusion_of(
     const routing::instance &target, const routing::residency &home,
-    const routing::traffic_place &place, timestamp now) const {
+    const routing::drain_position &place, timestamp now) const {
   const routing::exclusion lasting =
       routing::exclusion_of(target, home, options_.places, drains_, place);
   if (lasting != routing::exclusion::none || !target.slow_start.cold(now)) {
--- a/src/forwarding/replica_selector.hpp
+++ b/src/forwarding/replica_selector.hpp
@@ -148,7 +148,7 @@
 private:
   [[nodiscard]] routing::exclusion
   exclusion_of(const routing::instance &target, const routing::residency &home,
-               const routing::traffic_place &place, timestamp now) const;
+               const routing::drain_position &place, timestamp now) const;
   /// When this gateway may send something to a replica that warms up.
   [[nodiscard]] timestamp next_send(const routing::instance &cold,
                                     timestamp now) const;
--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -22,14 +22,14 @@
 
 exclusion exclusion_of(const instance &target, const residency &home,
                        const topology &places, const zone_drains &drains,
-                       const traffic_place &place) {
+                       const drain_position &place) {
   if (!target.accepts_work()) {
     return exclusion::leaving;
   }
   if (!drains.known()) {
     return exclusion::drains_unknown;
   }
-  if (drains.bars(target.record.zone, place)) {
+  if (drains.blocks_requests(target.record.zone, place)) {
     return exclusion::zone_drained;
   }
   const bool inside =
--- a/src/routing/eligibility.hpp
+++ b/src/routing/eligibility.hpp
@@ -37,6 +37,6 @@
 /// by default it has none, and a drained zone is closed to it.
 exclusion exclusion_of(const instance &target, const residency &home,
                        const topology &places, const zone_drains &drains,
-                       const traffic_place &place = {});
+                       const drain_position &place = {});
 
 } // namespace heathtrestle::routing
--- a/src/routing/zone_drains.cpp
+++ b/src/routing/zone_drains.cpp
@@ -31,8 +31,8 @@
   confirmed_ = std::max(confirmed_.value_or(moment), moment);
 }
 
-bool zone_drains::bars(const std::string &zone,
-                       const traffic_place &place) const {
+bool zone_drains::blocks_requests(const std::string &zone,
+                                  const drain_position &place) const {
   const auto found = drains_.find(zone);
   if (found == drains_.end()) {
     return false;
@@ -40,10 +40,10 @@
   return !place.draw || !found->second.shift.keeps(*place.draw, place.now);
 }
 
-void zone_drains::set_quiet(const std::string &zone) {
+void zone_drains::set_idle(const std::string &zone) {
   const auto found = drains_.find(zone);
   if (found != drains_.end()) {
-    found->second.quiet = true;
+    found->second.idle = true;
   }
 }
 
--- a/src/routing/zone_drains.hpp
+++ b/src/routing/zone_drains.hpp
@@ -19,7 +19,7 @@
 namespace heathtrestle::routing {
 
 /// What tells the requests of a zone's traffic apart while that moves away.
-struct traffic_place {
+struct drain_position {
   /// Evenly spread over conversations. Nothing for a request that was at a
   /// replica before: it does not go to a drained zone again.
   std::optional<std::uint64_t> draw;
@@ -32,7 +32,7 @@
     timestamp heard{};
     zone_shift shift;
     /// True once nothing of this process runs in the zone any more.
-    bool quiet = false;
+    bool idle = false;
   };
 
   /// @param limit time from the operator's request until nothing may be sent
@@ -54,13 +54,13 @@
     return drains_.contains(zone);
   }
   /// True when a request may not go to the zone.
-  [[nodiscard]] bool bars(const std::string &zone,
-                          const traffic_place &place) const;
+  [[nodiscard]] bool blocks_requests(const std::string &zone,
+                                     const drain_position &place) const;
   [[nodiscard]] const std::map<std::string, drain> &all() const {
     return drains_;
   }
   /// Notes that nothing runs in a drained zone any more.
-  void set_quiet(const std::string &zone);
+  void set_idle(const std::string &zone);
   /// @return how old what is known can be; nothing while it was never complete
   /// for certain.
   [[nodiscard]] std::optional<duration_ms> age(timestamp now) const;
--- a/tests/forwarding/drain_monitor_test.cpp
+++ b/tests/forwarding/drain_monitor_test.cpp
@@ -75,14 +75,14 @@
     replica->in_flight = 1;
     handlers_.on_listing({.items = {request_for("a")}, .revision = 1});
     monitor_.check(steady_now());
-    CPPUNIT_ASSERT(!replicas_.drains().all().at("a").quiet);
+    CPPUNIT_ASSERT(!replicas_.drains().all().at("a").idle);
     monitor_.refresh_metrics(steady_now());
     CPPUNIT_ASSERT(
         metrics_.text().find("heathtrestle_gateway_drained_zone_requests 1") !=
         std::string::npos);
     replica->in_flight = 0;
     monitor_.check(steady_now());
-    CPPUNIT_ASSERT(replicas_.drains().all().at("a").quiet);
+    CPPUNIT_ASSERT(replicas_.drains().all().at("a").idle);
   }
 };
 
--- a/tests/routing/zone_drains_test.cpp
+++ b/tests/routing/zone_drains_test.cpp
@@ -26,11 +26,11 @@
 
   /// Whether the conversation that leaves last may go to the zone.
   bool open_to_last(const std::string &zone, timestamp now) const {
-    return !drains_.bars(zone, {.draw = 0, .now = now});
+    return !drains_.blocks_requests(zone, {.draw = 0, .now = now});
   }
   bool open_to_any(const std::string &zone, timestamp now) const {
     return open_to_last(zone, now) ||
-           !drains_.bars(zone, {.draw = {}, .now = now});
+           !drains_.blocks_requests(zone, {.draw = {}, .now = now});
   }
 
 public:
@@ -51,7 +51,7 @@
   void a_drain_that_was_there_at_the_start_is_in_force_at_once() {
     zone_drains started(limit);
     started.put("a", now_);
-    CPPUNIT_ASSERT(started.bars("a", {.draw = 0, .now = now_}));
+    CPPUNIT_ASSERT(started.blocks_requests("a", {.draw = 0, .now = now_}));
   }
 
   void a_conversation_under_way_moves_within_the_limit() {
@@ -62,7 +62,7 @@
 
   void what_was_at_a_replica_before_does_not_return() {
     drains_.put("a", now_);
-    CPPUNIT_ASSERT(drains_.bars("a", {.draw = {}, .now = now_}));
+    CPPUNIT_ASSERT(drains_.blocks_requests("a", {.draw = {}, .now = now_}));
   }
 
   void what_was_heard_last_holds_however_old() {
@@ -76,8 +76,8 @@
   void a_drain_that_is_taken_back_while_traffic_moves() {
     drains_.put("a", now_);
     CPPUNIT_ASSERT(drains_.remove("a", now_ + duration_ms{300}));
-    CPPUNIT_ASSERT(
-        !drains_.bars("a", {.draw = {}, .now = now_ + duration_ms{300}}));
+    CPPUNIT_ASSERT(!drains_.blocks_requests(
+        "a", {.draw = {}, .now = now_ + duration_ms{300}}));
     CPPUNIT_ASSERT(!drains_.remove("a", now_ + duration_ms{400}));
   }
 
