--- a/src/balance/admission_share.cpp
+++ b/src/balance/admission_share.cpp
@@ -2,35 +2,39 @@
 
 namespace heathtrestle::balance {
 
-void admission_share::update(ring_arc arc, timestamp asked, timestamp now) {
-  if (asked < asked_ || arc.length == 0) {
+void admission_share::update(ring_arc arc, timestamp requested_at,
+                             timestamp now) {
+  if (requested_at < requested_at_ || arc.length == 0) {
     return;
   }
-  const bool unbroken =
-      !least_.empty() && arc.end == end_ && now < asked_ + report_lifetime;
-  if (!unbroken) {
-    least_.clear();
-    told_since_ = now;
+  const bool continuous = !minimum_lengths_.empty() && arc.end == end_ &&
+                          now < requested_at_ + report_lifetime;
+  if (!continuous) {
+    minimum_lengths_.clear();
+    reported_since_ = now;
   }
   end_ = arc.end;
-  asked_ = asked;
+  requested_at_ = requested_at;
   timestamp since = now;
-  while (!least_.empty() && least_.back().length >= arc.length) {
-    since = least_.back().since;
-    least_.pop_back();
+  while (!minimum_lengths_.empty() &&
+         minimum_lengths_.back().length >= arc.length) {
+    since = minimum_lengths_.back().since;
+    minimum_lengths_.pop_back();
   }
-  least_.push_back({.length = arc.length, .since = since});
-  while (least_.size() > 1 && now >= least_[1].since + settling_time) {
-    least_.pop_front();
+  minimum_lengths_.push_back({.length = arc.length, .since = since});
+  while (minimum_lengths_.size() > 1 &&
+         now >= minimum_lengths_[1].since + settling_time) {
+    minimum_lengths_.pop_front();
   }
 }
 
 ring_arc admission_share::owned_arc(timestamp now) const {
-  const bool believed = !least_.empty() && now < asked_ + report_lifetime;
-  if (!believed || now < told_since_ + settling_time) {
+  const bool current =
+      !minimum_lengths_.empty() && now < requested_at_ + report_lifetime;
+  if (!current || now < reported_since_ + settling_time) {
     return {};
   }
-  return {.end = end_, .length = least_.front().length};
+  return {.end = end_, .length = minimum_lengths_.front().length};
 }
 
 } // namespace heathtrestle::balance
--- a/src/balance/admission_share.hpp
+++ b/src/balance/admission_share.hpp
@@ -1,15 +1,13 @@
-// Which points of the ring that all gateways share are this gateway's own for
-// certain, though what it was told of them is some time old.
+// Tracks the arc of the shared admission ring that this gateway owns, as
+// reported by the load board.
 //
-// The load that this answers: many gateways admit requests to one replica that
-// bears a few a second, and none sees what the others send. Each admission is a
-// point of the ring, and a gateway spends those on its own arc only. Views of
-// the arcs differ while gateways come and go or the node that tells them
-// changes. So a point that an arc gains is spent only after the gateway that
-// had it before can no longer believe in it: two gateways never spend the same
-// point within one second.
+// Each admission to a warming replica is a point on the ring, and a gateway
+// spends only the points on its own arc. Gateways can see different arcs while
+// gateways join or leave or the reporting node changes. A point that an arc
+// gains is therefore usable only after the previous owner's report has expired,
+// so that no two gateways spend the same point within one second.
 //
-// It decides only: no I/O, no clock, no randomness of its own.
+// Pure logic: no I/O and no randomness; the caller passes the time.
 #pragma once
 
 #include "base/ring_arc.hpp"
@@ -21,36 +19,38 @@
 
 class admission_share {
 public:
-  /// What was told counts for so long from when it was asked for. A gateway
-  /// asks several times a second, one with few clients every second or two.
+  /// A report expires this long after its request was sent. Busy gateways
+  /// request one several times a second, idle ones every second or two.
   static constexpr duration_ms report_lifetime{3000};
-  /// A point is spent after it was on every arc told for so long: until the
-  /// gateway before has ceased to believe in it, and a second more, within
-  /// which its last requests count.
+  /// A point becomes usable after every report for this long included it: the
+  /// previous owner's report has then expired, and one more second has passed
+  /// in which that owner's last requests still count.
   static constexpr duration_ms settling_time =
       report_lifetime + duration_ms{1000};
 
-  /// @param asked when the question was sent that brought the arc; an answer
-  /// to an earlier one than the last is ignored.
-  void update(ring_arc arc, timestamp asked, timestamp now);
+  /// Applies a reported arc. A zero-length arc is ignored, and so is the
+  /// response to a request older than the last one applied.
+  /// @param requested_at when the request for this report was sent.
+  void update(ring_arc arc, timestamp requested_at, timestamp now);
 
-  /// The points that this gateway may spend; none where it has not heard of
-  /// the others lately, or not for long enough.
+  /// The points that this gateway may spend. Empty if the last report has
+  /// expired or reports have not yet been continuous for `settling_time`.
   [[nodiscard]] ring_arc owned_arc(timestamp now) const;
 
 private:
-  /// All arcs told since then were this long or longer.
-  struct least_length {
+  /// Every arc reported since `since` had at least this length.
+  struct minimum_length {
     std::uint32_t length = 0;
     timestamp since{};
   };
 
   std::uint32_t end_ = 0;
-  timestamp asked_{};
-  /// Since when the present end has been told without a break.
-  timestamp told_since_{};
-  /// The longer, the later; the first is what counts.
-  std::deque<least_length> least_;
+  timestamp requested_at_{};
+  /// Since when reports with the current end have arrived without a gap.
+  timestamp reported_since_{};
+  /// Sliding-window minimum: `length` and `since` both increase, and the first
+  /// entry is the length in effect.
+  std::deque<minimum_length> minimum_lengths_;
 };
 
 } // namespace heathtrestle::balance
--- a/src/balance/decaying_regression.cpp
+++ b/src/balance/decaying_regression.cpp
@@ -9,14 +9,13 @@
 
 namespace {
 
-/// A sample counts as one at most so many usual distances off the model. Two
-/// to three keep nearly all of the information of undisturbed samples.
-constexpr double outlier_limit = 2.5;
-/// Weight of one sample in the usual distance.
+/// Residuals are clipped at this multiple of the smoothed residual. Two to
+/// three keep nearly all of the information of undisturbed samples.
+constexpr double residual_limit = 2.5;
+/// Smoothing factor of the residual.
 constexpr double noise_weight = 0.02;
-/// One sample raises the usual distance as if it were at most so many times as
-/// far off.
-constexpr double noise_step = 10;
+/// Limits how far one sample raises the smoothed residual, as a multiple of it.
+constexpr double noise_growth_limit = 10;
 
 } // namespace
 
@@ -31,24 +30,24 @@
 
 void decaying_regression::add(const vector &inputs, double outcome) {
   const double expected = predict(inputs);
-  const double distance = outcome - expected;
-  const double limit = outlier_limit * noise_;
-  const double taken = expected + std::clamp(distance, -limit, limit);
-  const double seen = std::min(std::abs(distance), noise_step * noise_);
-  noise_ += noise_weight * (seen - noise_);
+  const double deviation = outcome - expected;
+  const double limit = residual_limit * noise_;
+  const double clipped = expected + std::clamp(deviation, -limit, limit);
+  const double residual =
+      std::min(std::abs(deviation), noise_growth_limit * noise_);
+  noise_ += noise_weight * (residual - noise_);
   for (std::size_t row = 0; row < terms; ++row) {
     for (std::size_t column = 0; column < terms; ++column) {
       products_[row][column] =
           retained_ * products_[row][column] + inputs[row] * inputs[column];
     }
-    outcomes_[row] = retained_ * outcomes_[row] + inputs[row] * taken;
+    outcomes_[row] = retained_ * outcomes_[row] + inputs[row] * clipped;
   }
   solve();
 }
 
 void decaying_regression::solve() {
-  // The prior counts as samples whose noise is that of the others: with the
-  // precision of its spread, in units of the noise.
+  // The prior enters as a ridge term: its precision relative to the noise.
   matrix left = products_;
   vector right = outcomes_;
   for (std::size_t place = 0; place < terms; ++place) {
@@ -57,7 +56,8 @@
     left[place][place] += weight;
     right[place] += weight * options_.prior[place];
   }
-  // Gaussian elimination; the matrix is positive definite, so no pivot is zero.
+  // Gaussian elimination without pivoting; the matrix is positive definite, so
+  // no pivot is zero.
   for (std::size_t pivot = 0; pivot < terms; ++pivot) {
     for (std::size_t row = pivot + 1; row < terms; ++row) {
       const double factor = left[row][pivot] / left[pivot][pivot];
--- a/src/balance/decaying_regression.hpp
+++ b/src/balance/decaying_regression.hpp
@@ -1,12 +1,12 @@
-// A linear model that is learnt from noisy samples: an outcome is taken to be
-// the sum of a few inputs, each times a coefficient.
+// Linear regression over noisy samples, with exponential forgetting, a Gaussian
+// prior and outlier clipping.
 //
-// Least squares with a prior: each coefficient is believed to lie near a value
-// with a stated spread until samples say otherwise. Older samples lose weight,
-// so the model follows a change, and falls back to the prior where an input
-// has not varied for long. A sample far off the model counts as one at the
-// limit (Huber 1964), so a few outliers do not move it; as the usual distance
-// grows the limit grows with it, so a model that is far off itself still moves.
+// Each coefficient stays near its prior until samples outweigh it. Older
+// samples lose weight, so the model follows changes and returns to the prior
+// for an input that has not varied for long. A sample far from the prediction
+// is clipped to a limit (Huber 1964), so a few outliers barely move the model.
+// The limit scales with the smoothed residual, so a model that is far off still
+// converges.
 #pragma once
 
 #include <array>
@@ -20,12 +20,12 @@
   using vector = std::array<double, terms>;
 
   struct options {
-    /// What the coefficients are believed to be, and the spread of that belief.
+    /// Prior mean and standard deviation of each coefficient.
     vector prior{};
     vector prior_spread{};
-    /// Usual distance between outcome and model before the first sample.
+    /// Expected absolute residual before the first sample.
     double noise = 1;
-    /// After so many samples one has lost half of its weight.
+    /// Number of later samples after which a sample's weight has halved.
     double half_life = 300;
   };
 
@@ -35,7 +35,7 @@
 
   [[nodiscard]] const vector &coefficients() const { return coefficients_; }
   [[nodiscard]] double predict(const vector &inputs) const;
-  /// Smoothed distance between outcome and model.
+  /// Smoothed absolute residual.
   [[nodiscard]] double noise() const { return noise_; }
 
 private:
@@ -44,7 +44,7 @@
   void solve();
 
   options options_;
-  double retained_; // weight that a sample keeps when another one comes
+  double retained_; // factor applied to old weights by each new sample
   double noise_;
   matrix products_{}; // decayed sums of input times input
   vector outcomes_{}; // decayed sums of input times outcome
--- a/src/balance/engine_cost_model.cpp
+++ b/src/balance/engine_cost_model.cpp
@@ -6,33 +6,33 @@
 
 namespace {
 
-/// Tokens are counted in thousands, so that all inputs are of one size.
+/// Tokens enter the model in thousands, so that all inputs have similar
+/// magnitude.
 constexpr double tokens_per_unit = 1000;
-/// Samples after which one has lost half of its weight: some ten seconds of a
-/// busy gateway, in which engines of one service do not change their speed.
+/// Half-life of a sample: about ten seconds on a busy gateway.
 constexpr double half_life_turns = 300;
 
-/// Prior beliefs. Current engines read 10 to 1,000 prompt tokens a millisecond,
-/// and make an event in 5 to 50 ms; a spread as large as the mean lets some
-/// dozen turns overrule each.
+/// Priors. Engines read 10 to 1,000 prompt tokens per millisecond and produce
+/// an event every 5 to 50 ms; the wide spread lets a few dozen turns override
+/// them.
 constexpr decaying_regression::options first_event_prior{
-    .prior = {30, 10, 2}, // at rest; a thousand tokens; a running request
+    .prior = {30, 10, 2}, // base; per thousand tokens; per running request
     .prior_spread = {100, 30, 4},
     .noise = 20,
     .half_life = half_life_turns};
 constexpr decaying_regression::options event_gap_prior{
-    .prior = {15, 0, 0.4}, // at rest; unused; a running request
+    .prior = {15, 0, 0.4}, // base; unused; per running request
     .prior_spread = {30, 1e-3, 0.8},
     .noise = 5,
     .half_life = half_life_turns};
-/// Events of a turn before the first one was seen, and the weight of one turn.
+/// Initial estimate of events per turn, and the smoothing factor of one turn.
 constexpr double events_prior = 10;
 constexpr double events_weight = 0.02;
 
-/// No engine reads faster than this: what the model says beyond comes of noise.
-constexpr double least_ms_per_token = 1.0 / 5000;
-/// More running requests make nobody faster.
-constexpr double least_ms_per_running = 0.1;
+/// Lower bound of the learned prefill time; smaller values are noise.
+constexpr double min_ms_per_token = 1.0 / 5000;
+/// Lower bound: concurrent requests never speed an engine up.
+constexpr double min_ms_per_running = 0.1;
 
 } // namespace
 
@@ -53,9 +53,8 @@
   const double per_token = first_event_.coefficients()[1] / tokens_per_unit;
   const double first = std::max(first_event_.coefficients()[2], 0.0);
   const double gap = std::max(event_gap_.coefficients()[2], 0.0);
-  return {.ms_per_token = std::max(per_token, least_ms_per_token),
-          .ms_per_running =
-              std::max(first + gap * events_, least_ms_per_running),
+  return {.ms_per_token = std::max(per_token, min_ms_per_token),
+          .ms_per_running = std::max(first + gap * events_, min_ms_per_running),
           .turn_ms = first_event_ms(0, 0) + event_gap_ms(0) * events_};
 }
 
@@ -67,8 +66,8 @@
 }
 
 double engine_cost_model::event_gap_ms(double running) const {
-  constexpr double least_gap_ms = 0.1;
-  return std::max(event_gap_.predict({1, 0, running}), least_gap_ms);
+  constexpr double min_gap_ms = 0.1;
+  return std::max(event_gap_.predict({1, 0, running}), min_gap_ms);
 }
 
 } // namespace heathtrestle::balance
--- a/src/balance/engine_cost_model.hpp
+++ b/src/balance/engine_cost_model.hpp
@@ -1,24 +1,24 @@
-// What a turn costs at the engines of one service, learnt from the turns that
-// this gateway has seen through: how fast prompts are read, and what one more
-// running request costs the others. Engines differ a hundredfold in both, and
-// nothing in their records tells.
+// Learns what a turn costs at the engines of one service from the turns that
+// this gateway has completed: the prefill time per prompt token and the
+// slowdown that each concurrent request adds. Engines differ a hundredfold in
+// both, and their directory records do not state either.
 #pragma once
 
 #include "balance/decaying_regression.hpp"
 
 namespace heathtrestle::balance {
 
-/// How a turn went at the engine that answered it.
+/// Measurements of one completed turn.
 struct turn_observation {
-  /// Tokens of the prompt that the engine was taken to lack.
+  /// Estimated prompt tokens that were not in the engine's prefix cache.
   double missing_tokens = 0;
-  /// Requests that were taken to run there beside this one.
+  /// Estimated other requests that were running on the engine.
   double running = 0;
-  /// From sending the request to its first event.
+  /// Time from sending the request to its first event.
   double first_event_ms = 0;
-  /// Mean time between its later events; zero where there was no second one.
+  /// Mean time between events; zero if there were fewer than two.
   double event_gap_ms = 0;
-  /// Events in all.
+  /// Total number of events.
   double events = 0;
 
   bool operator==(const turn_observation &) const = default;
@@ -27,9 +27,10 @@
 /// The costs of one service's engines, in milliseconds.
 struct engine_costs {
   double ms_per_token = 0;
-  /// What one more running request costs each other one, over a whole turn.
+  /// Delay that one more running request adds to a whole turn of each other.
   double ms_per_running = 0;
-  /// A turn that finds its prompt and no other request there.
+  /// Duration of a turn whose prompt is fully cached on an otherwise idle
+  /// engine.
   double turn_ms = 0;
 
   bool operator==(const engine_costs &) const = default;
@@ -42,12 +43,12 @@
   void observe(const turn_observation &turn);
 
   [[nodiscard]] engine_costs costs() const;
-  /// The time to the first event of a turn of that kind.
+  /// Predicted time to the first event, at least 1 ms.
   [[nodiscard]] double first_event_ms(double missing_tokens,
                                       double running) const;
-  /// The time between its events.
+  /// Predicted time between events, above zero.
   [[nodiscard]] double event_gap_ms(double running) const;
-  /// Usual distance of a first event from what was expected.
+  /// Smoothed absolute error of the first-event prediction.
   [[nodiscard]] double first_event_noise_ms() const {
     return first_event_.noise();
   }
@@ -55,7 +56,7 @@
 private:
   decaying_regression first_event_;
   decaying_regression event_gap_;
-  /// Smoothed number of events of a turn.
+  /// Smoothed number of events per turn.
   double events_;
 };
 
--- a/src/balance/instance_choice.cpp
+++ b/src/balance/instance_choice.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// What taking a suspect costs: more than any load.
+/// Cost added to a suspect replica; exceeds the cost of any load.
 constexpr double suspect_penalty = 1e6;
-/// Engines drawn among those that are alike; the cheapest is taken. What
-/// differs among them is mostly what this gateway has running there itself,
-/// which no other gateway acts by. More draws gain little (stale_loads_test
-/// with three: 0.062 against 0.060 of the turns queued at 60 engines).
-constexpr std::size_t draws_among_alike = 2;
-/// The index of the least cost; the search starts at a random place, so that
-/// equals are taken alike.
+/// Number of random draws among equivalent engines, of which the cheapest is
+/// taken. Their costs differ mostly by this gateway's own requests, which other
+/// gateways do not act on, so picking the cheaper one causes no herding.
+constexpr std::size_t draws_among_equivalent = 2;
+
+/// The index of the lowest cost. The search starts at a random index, so that
+/// ties are broken evenly.
 template <typename Cost>
 std::optional<std::size_t> cheapest(std::span<const candidate> candidates,
                                     std::uint64_t random, Cost cost_of) {
@@ -28,21 +28,22 @@
   }
   const std::size_t start = random % candidates.size();
   std::size_t best = start;
-  double least = std::numeric_limits<double>::infinity();
+  double lowest = std::numeric_limits<double>::infinity();
   for (std::size_t step = 0; step < candidates.size(); ++step) {
     const std::size_t index = (start + step) % candidates.size();
     const double penalty = candidates[index].suspect ? suspect_penalty : 0;
     const double cost = cost_of(index) + penalty;
-    if (cost < least) {
-      least = cost;
+    if (cost < lowest) {
+      lowest = cost;
       best = index;
     }
   }
   return best;
 }
 
-/// The candidate with the largest weight, or none when no object was named.
-std::size_t home_of(std::span<const candidate> candidates) {
+/// The candidate with the largest rendezvous weight; `candidates.size()` if the
+/// request has no object.
+std::size_t home_index(std::span<const candidate> candidates) {
   const auto largest =
       std::max_element(candidates.begin(), candidates.end(),
                        [](const candidate &left, const candidate &right) {
@@ -53,31 +54,32 @@
                : candidates.size();
 }
 
-/// How far the cost may be off, for the load may be.
+/// Uncertainty of the cost that follows from that of the load.
 double cost_spread(candidate each, const engine_choice_options &options) {
   const double expected = engine_cost(each, options);
   each.running += each.running_spread;
   return engine_cost(each, options) - expected;
 }
 
-/// The engines that cost no more than the cheapest one may cost.
-std::vector<std::size_t> alike_engines(std::span<const candidate> candidates,
-                                       std::span<const double> costs,
-                                       const engine_choice_options &options) {
-  const auto least = std::min_element(costs.begin(), costs.end());
-  const candidate &cheapest_one =
-      candidates[static_cast<std::size_t>(std::distance(costs.begin(), least))];
-  const double most = *least + cost_spread(cheapest_one, options);
-  std::vector<std::size_t> alike;
+/// The engines whose cost is within the uncertainty of the cheapest one's.
+std::vector<std::size_t>
+equivalent_engines(std::span<const candidate> candidates,
+                   std::span<const double> costs,
+                   const engine_choice_options &options) {
+  const auto lowest = std::min_element(costs.begin(), costs.end());
+  const candidate &cheapest_engine = candidates[static_cast<std::size_t>(
+      std::distance(costs.begin(), lowest))];
+  const double most = *lowest + cost_spread(cheapest_engine, options);
+  std::vector<std::size_t> equivalent;
   for (std::size_t index = 0; index < costs.size(); ++index) {
     if (costs[index] <= most) {
-      alike.push_back(index);
+      equivalent.push_back(index);
     }
   }
-  return alike;
+  return equivalent;
 }
 
-/// The next number of a sequence that mixes all bits (splitmix64).
+/// The next number of a splitmix64 sequence.
 std::uint64_t next_random(std::uint64_t number) {
   number += 0x9e3779b97f4a7c15U;
   number = (number ^ (number >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -85,10 +87,10 @@
   return number ^ (number >> 31U);
 }
 
-/// Draws one of the engines by their weights.
-std::size_t draw_one(std::span<const candidate> candidates,
-                     const std::vector<std::size_t> &engines,
-                     std::uint64_t random) {
+/// Draws an engine at random in proportion to the draw weights.
+std::size_t draw_weighted(std::span<const candidate> candidates,
+                          const std::vector<std::size_t> &engines,
+                          std::uint64_t random) {
   double sum = 0;
   for (const std::size_t index : engines) {
     sum += candidates[index].draw_weight;
@@ -114,17 +116,18 @@
                    const engine_choice_options &options) {
   const engine_costs &costs = options.costs;
   const double slots = std::max<std::uint32_t>(each.slots, 1);
-  const double beside = std::min(each.running, slots);
-  const double reading =
+  const double concurrent = std::min(each.running, slots);
+  const double prefill =
       static_cast<double>(each.missing_tokens) * costs.ms_per_token;
-  // It waits for those that run, and they for it.
-  const double sharing = 2 * costs.ms_per_running * beside;
-  // With all slots taken, one frees itself each time a turn ends.
+  // The request delays the running ones and is delayed by them.
+  const double sharing = 2 * costs.ms_per_running * concurrent;
+  // With all slots occupied, one becomes free each time a turn ends.
   const double queued = std::max(each.running - slots + 1, 0.0);
   const double queueing = queued * costs.turn_ms / slots;
-  const double work = reading * (1 + beside) + sharing + queueing;
-  const double leaving = options.zone_preference * costs.turn_ms;
-  return work * each.slowdown + each.wait_ms + (each.same_zone ? 0 : leaving);
+  const double work = prefill * (1 + concurrent) + sharing + queueing;
+  const double zone_penalty = options.zone_preference * costs.turn_ms;
+  return work * each.slowdown + each.wait_ms +
+         (each.same_zone ? 0 : zone_penalty);
 }
 
 double plain_cost(const candidate &each, bool is_home,
@@ -149,19 +152,19 @@
     costs.push_back(engine_cost(each, options) +
                     (each.suspect ? suspect_penalty : 0));
   }
-  const std::vector<std::size_t> alike =
-      alike_engines(candidates, costs, options);
-  std::size_t drawn = draw_one(candidates, alike, random);
-  for (std::size_t draw = 1; draw < draws_among_alike; ++draw) {
+  const std::vector<std::size_t> equivalent =
+      equivalent_engines(candidates, costs, options);
+  std::size_t drawn = draw_weighted(candidates, equivalent, random);
+  for (std::size_t draw = 1; draw < draws_among_equivalent; ++draw) {
     random = next_random(random);
-    const std::size_t other = draw_one(candidates, alike, random);
+    const std::size_t other = draw_weighted(candidates, equivalent, random);
     drawn = costs[other] < costs[drawn] ? other : drawn;
   }
   std::size_t best = drawn;
   for (std::size_t index = 0; index < candidates.size(); ++index) {
-    const bool keeps_more =
+    const bool more_cached =
         candidates[index].missing_tokens < candidates[drawn].missing_tokens;
-    best = keeps_more && costs[index] < costs[best] ? index : best;
+    best = more_cached && costs[index] < costs[best] ? index : best;
   }
   return best;
 }
@@ -169,7 +172,7 @@
 std::optional<std::size_t> choose_plain(std::span<const candidate> candidates,
                                         std::uint64_t random,
                                         const plain_choice_options &options) {
-  const std::size_t home = home_of(candidates);
+  const std::size_t home = home_index(candidates);
   return cheapest(candidates, random, [&](std::size_t index) {
     return plain_cost(candidates[index], index == home, options);
   });
--- a/src/balance/instance_choice.hpp
+++ b/src/balance/instance_choice.hpp
@@ -1,4 +1,5 @@
-// Which replica of a service gets a request: pure policies over a view.
+// Load balancing policies: select the replica of a service that receives a
+// request. Pure functions over a snapshot of the candidates.
 #pragma once
 
 #include "balance/engine_cost_model.hpp"
@@ -11,28 +12,27 @@
 
 namespace heathtrestle::balance {
 
-/// One replica that may take the request.
+/// One replica that is eligible for the request.
 struct candidate {
-  /// Requests that run there, of all gateways, as far as that is known.
+  /// Estimated running requests of all gateways.
   double running = 0;
-  /// Standard deviation of `running`: it grows with the age of what the other
-  /// gateways have reported. Engines only.
+  /// Standard deviation of `running`; grows with the age of the load reports.
+  /// Engines only.
   double running_spread = 0;
-  /// Of engines that are alike otherwise one is drawn by this weight. Engines
-  /// only.
+  /// Weight of the random draw among engines of equivalent cost. Engines only.
   double draw_weight = 1;
   std::uint32_t slots = 1;
   bool same_zone = false;
-  /// It failed lately: taken only when no sound one is there.
+  /// It failed recently: selected only if no healthy candidate is left.
   bool suspect = false;
-  /// Time that it takes, relative to what its service usually takes.
+  /// Response time relative to the average of its service.
   double slowdown = 1;
-  /// Time beyond what its load explains that requests lately waited there for
-  /// their first event, in milliseconds. Engines only.
+  /// Recent delay of first events beyond what its load explains, in
+  /// milliseconds. Engines only.
   double wait_ms = 0;
-  /// Tokens of the prompt that it would have to read. Engines only.
+  /// Prompt tokens missing from its prefix cache. Engines only.
   std::uint64_t missing_tokens = 0;
-  /// A connection to it stands idle: none has to be made. Plain replicas only.
+  /// An idle pooled connection to it exists. Plain replicas only.
   bool connected = false;
   /// Rendezvous weight of the request's object; 0 when it has none.
   std::uint64_t affinity = 0;
@@ -40,50 +40,51 @@
 
 struct engine_choice_options {
   engine_costs costs;
-  /// What staying in the zone is worth, in shares of a usual turn: bytes
-  /// between zones are paid for, and a zone may be cut off.
+  /// Cost of leaving the zone, as a fraction of a typical turn: traffic between
+  /// zones is billed, and a zone may become unreachable.
   double zone_preference = 0.1;
 };
 
-/// What is worth less than one request that this gateway has at a replica
-/// already, in such requests: each decides among replicas that are alike
-/// otherwise. A gateway's own requests are all that it knows of their load.
+/// Preferences among plain replicas, in units of one in-flight request.
+/// Together they are below 1, so they only break ties in load. A gateway knows
+/// no load of plain replicas other than its own requests.
 struct plain_choice_options {
   double zone_preference = 0.12;
-  /// The replica that the object hashes to knows it already.
+  /// For the replica that the object hashes to, which may have it cached.
   double home_preference = 0.24;
-  /// No connection has to be made.
+  /// For a replica with an idle pooled connection.
   double connection_preference = 0.04;
 };
 
-/// The cost of sending a request to an engine, in milliseconds of all requests
-/// together: its own reading holds up those that run there.
+/// The cost of sending a request to an engine: milliseconds of delay, summed
+/// over this request and the running ones that its prefill holds up.
 double engine_cost(const candidate &each, const engine_choice_options &options);
 
-/// The cost of sending a request to a plain replica, in requests a slot.
+/// The cost of sending a request to a plain replica, in requests per slot.
 /// @param is_home whether the replica is the one that the object hashes to.
 double plain_cost(const candidate &each, bool is_home,
                   const plain_choice_options &options);
 
-/// Chooses an engine by loads that many gateways share and that are some time
-/// old. If each gateway took the engine that its copy of the loads shows to be
-/// the cheapest, all would take the same one until the next report. So engines
-/// whose costs differ by less than the loads' uncertainty count as alike, and
-/// the better of two that are drawn from them is taken. An engine that keeps
-/// more of the prompt is taken instead where it is cheaper: that differs from
-/// request to request, so the gateways do not rush to it together.
-/// @param random 64 random bits; they decide the draws.
-/// @return the index of the chosen candidate; nothing when there is none.
+/// Chooses an engine by stale load reports that all gateways share. If every
+/// gateway took the cheapest engine of its copy, all would herd to the same one
+/// until the next report. Engines whose costs differ by less than the
+/// uncertainty of the loads are therefore treated as equivalent, and the
+/// cheaper of two random draws among them is taken. An engine that has more of
+/// the prompt cached than the drawn one replaces it if it is cheaper: this
+/// differs between requests, so it causes no herding.
+/// @param random 64 random bits that seed the draws.
+/// @return the index of the chosen candidate; nothing if there are none.
 std::optional<std::size_t> choose_engine(std::span<const candidate> candidates,
                                          std::uint64_t random,
                                          const engine_choice_options &options);
+/// Chooses the plain replica of the lowest cost.
 /// @param random breaks ties.
-/// @return the index of the cheapest candidate; nothing when there is none.
+/// @return the index of the cheapest candidate; nothing if there are none.
 std::optional<std::size_t> choose_plain(std::span<const candidate> candidates,
                                         std::uint64_t random,
                                         const plain_choice_options &options);
 
-/// The weight of an object at a replica, the same on every gateway.
+/// Rendezvous hashing weight of an object at a replica; equal on all gateways.
 std::uint64_t rendezvous_weight(std::string_view object,
                                 std::string_view instance);
 
--- a/src/balance/load_estimate.cpp
+++ b/src/balance/load_estimate.cpp
@@ -8,27 +8,27 @@
 
 namespace {
 
-/// Turns are measured in whole milliseconds; none is taken for zero.
-constexpr double shortest_turn_ms = 1;
+/// Lower bound that avoids a division by zero.
+constexpr double min_turn_ms = 1;
 
-/// Share of the requests of a report that still run.
-double share_left(const reported_load &report, timestamp now, double turn_ms) {
+/// Fraction of the reported requests that are still running.
+double surviving_share(const reported_load &report, timestamp now,
+                       double turn_ms) {
   if (report.at == timestamp{}) {
     return 0;
   }
   const double age =
       std::chrono::duration<double, std::milli>(now - report.at).count();
-  return std::exp(-std::max(age, 0.0) / std::max(turn_ms, shortest_turn_ms));
+  return std::exp(-std::max(age, 0.0) / std::max(turn_ms, min_turn_ms));
 }
 
-/// The level up to which `expected_arrivals` fill the lowest of the loads.
-double level_after(std::vector<double> loads, double expected_arrivals) {
+/// Water-filling: the level to which the arrivals raise the lowest loads.
+double fill_level(std::vector<double> loads, double arrivals) {
   std::sort(loads.begin(), loads.end());
-  double below = 0; // sum of the loads under the level
+  double below = 0; // sum of the loads below the level
   for (std::size_t count = 1; count <= loads.size(); ++count) {
     below += loads[count - 1];
-    const double level =
-        (expected_arrivals + below) / static_cast<double>(count);
+    const double level = (arrivals + below) / static_cast<double>(count);
     if (count == loads.size() || level <= loads[count]) {
       return level;
     }
@@ -42,20 +42,20 @@
 estimate_loads(std::span<const reported_load> reports, timestamp now,
                double turn_ms) {
   std::vector<load_estimate> estimates;
-  std::vector<double> left;
+  std::vector<double> surviving;
   double ended = 0;
   for (const reported_load &report : reports) {
-    const double share = share_left(report, now, turn_ms);
-    left.push_back(report.running * share);
+    const double share = surviving_share(report, now, turn_ms);
+    surviving.push_back(report.running * share);
     ended += report.running * (1 - share);
     estimates.push_back(
         {.spread = report.running * share * (1 - share)}); // binomial
   }
-  const double level = level_after(left, ended);
-  for (std::size_t index = 0; index < left.size(); ++index) {
+  const double level = fill_level(surviving, ended);
+  for (std::size_t index = 0; index < surviving.size(); ++index) {
     load_estimate &each = estimates[index];
-    each.expected_arrivals = std::max(level - left[index], 0.0);
-    each.running = left[index] + each.expected_arrivals;
+    each.expected_arrivals = std::max(level - surviving[index], 0.0);
+    each.running = surviving[index] + each.expected_arrivals;
     each.spread = std::sqrt(each.spread + each.expected_arrivals); // Poisson
   }
   return estimates;
--- a/src/balance/prefix_view.cpp
+++ b/src/balance/prefix_view.cpp
@@ -36,18 +36,18 @@
   if (parts.empty()) {
     return;
   }
-  // The last part first, so that the shared beginning is dropped last.
+  // Inserts the last part first, so that the shared prefix is evicted last.
   prompt_part last = parts.back();
   last.tokens += generated;
   put(last);
   std::for_each(std::next(parts.rbegin()), parts.rend(),
                 [this](const prompt_part &part) { put(part); });
-  shrink();
+  evict();
 }
 
 void prefix_view::set_capacity(std::uint64_t capacity) {
   capacity_ = capacity;
-  shrink();
+  evict();
 }
 
 void prefix_view::put(const prompt_part &part) {
@@ -65,7 +65,7 @@
   recent_.splice(recent_.begin(), recent_, known->second);
 }
 
-void prefix_view::shrink() {
+void prefix_view::evict() {
   while (tokens_ > capacity_ && recent_.size() > 1) {
     tokens_ -= recent_.back().tokens;
     by_id_.erase(recent_.back().id);
--- a/src/balance/prefix_view.hpp
+++ b/src/balance/prefix_view.hpp
@@ -1,9 +1,9 @@
-// Which parts of prompts one engine probably keeps: what this gateway has sent
-// there, the most recently used first, up to the engine's memory.
+// Models the prefix cache of one engine: an LRU list of the prompt parts that
+// this gateway has sent to it, limited to the engine's memory.
 //
-// Engines keep a part only together with all parts before it, and drop what
-// was unused longest. Other gateways use the same engines, so this is a guess
-// that errs to the low side; a wrong guess costs time, never correctness.
+// Engines cache a part only together with all parts before it and evict the
+// least recently used. Requests of other gateways are not seen, so the model is
+// an estimate; a wrong one costs time but never correctness.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace heathtrestle::balance {
 
-/// A part of a prompt. Of two parts with the same id the shorter is the
-/// beginning of the longer: a conversation grows under one id.
+/// A part of a prompt. A conversation grows under one id, so of two parts with
+/// the same id the shorter is a prefix of the longer.
 struct prompt_part {
   std::uint64_t id = 0;
   std::uint64_t tokens = 0;
@@ -22,32 +22,33 @@
   bool operator==(const prompt_part &) const = default;
 };
 
-/// The first tokens of a prompt, so many at most.
+/// Returns the prefix of a prompt with at most `tokens` tokens.
 std::vector<prompt_part> truncate_prompt(const std::vector<prompt_part> &parts,
                                          std::uint64_t tokens);
 
 class prefix_view {
 public:
-  /// @param capacity tokens that are taken to be kept at most.
+  /// @param capacity tokens that the engine is assumed to cache at most.
   explicit prefix_view(std::uint64_t capacity) : capacity_(capacity) {}
 
-  /// Tokens of a prompt that the engine would have to read.
+  /// Tokens of a prompt that are not in the cache and would have to be read.
   [[nodiscard]] std::uint64_t
   missing_tokens(const std::vector<prompt_part> &parts) const;
 
-  /// A request with this prompt was sent to the engine.
-  /// @param generated tokens that it made, which stay behind the last part.
+  /// Records that a request with this prompt was sent to the engine.
+  /// @param generated tokens of the response, which extend the last part.
   void record(const std::vector<prompt_part> &parts,
               std::uint64_t generated = 0);
 
-  /// The memory of the engine, as its service's configuration tells it.
+  /// Sets the configured memory of the engine, in tokens, and evicts the
+  /// excess.
   void set_capacity(std::uint64_t capacity);
 
   [[nodiscard]] std::uint64_t tokens() const { return tokens_; }
 
 private:
   void put(const prompt_part &part);
-  void shrink();
+  void evict();
 
   using order = std::list<prompt_part>;
 
--- a/src/balance/replica_speed.hpp
+++ b/src/balance/replica_speed.hpp
@@ -1,5 +1,5 @@
-// How one replica answers in comparison with what is usual for its service, as
-// one gateway has seen it lately.
+// Tracks how fast one replica responds compared with the average of its
+// service, as recently observed by this gateway.
 #pragma once
 
 #include "base/time.hpp"
@@ -8,23 +8,23 @@
 
 class replica_speed {
 public:
-  /// @param observed, expected time of one answer, or between two events, in
-  /// milliseconds; both above zero.
+  /// Records the duration of a response, or the time between two events.
+  /// @param observed, expected in milliseconds; both above zero.
   void record_duration(double observed, double expected);
-  /// @param excess_ms time that a first event took beyond what was expected;
-  /// negative when it came sooner.
+  /// Records the time to a first event.
+  /// @param excess_ms observed minus expected time; negative if it came early.
   void record_first_event(double excess_ms, timestamp now);
 
-  /// Times as long as usual; 1 before anything was seen.
+  /// Smoothed ratio of observed to expected time; 1 before the first sample.
   [[nodiscard]] double slowdown() const { return slowdown_; }
-  /// Time that requests waited lately beyond what was expected. What was seen
-  /// fades, so that a replica that was busy once is tried again.
+  /// Smoothed excess wait for first events. It decays over time, so that a
+  /// replica that was busy once is tried again.
   [[nodiscard]] double wait_ms(timestamp now) const;
 
 private:
   double slowdown_ = 1;
   double wait_ms_ = 0;
-  timestamp noted_{};
+  timestamp recorded_at_{};
 };
 
 } // namespace heathtrestle::balance
--- a/src/balance/slow_start.cpp
+++ b/src/balance/slow_start.cpp
@@ -7,17 +7,16 @@
 
 namespace {
 
-/// What a request that was admitted may be late on its way out behind the one
-/// before it.
+/// Tolerated difference in the delay between admission and sending of two
+/// requests.
 constexpr duration_ms send_jitter{50};
-/// Requests count for a second.
+/// Time for which a request occupies its admission.
 constexpr duration_ms window = duration_ms{1000} + send_jitter;
-/// Part of the bound that is dealt out at most. Should two sets of gateways
-/// hold each other for gone, both deal out everything, and replicas still get
-/// no more than the bound.
-constexpr double dealt_share = 0.5;
-/// Spreads the admissions of one replica over the ring: 2^64 over the golden
-/// ratio, odd.
+/// Maximum share of the bound that is assigned. If a network partition makes
+/// two sets of gateways each assign all admissions, the bound still holds.
+constexpr double max_assigned_share = 0.5;
+/// Fibonacci hashing constant (2^64 divided by the golden ratio, odd): spreads
+/// the admissions of one replica evenly over the ring.
 constexpr std::uint64_t point_step = 0x9e3779b97f4a7c15;
 
 std::uint32_t point_of(std::uint64_t key, std::uint32_t admission) {
@@ -31,8 +30,8 @@
 std::uint32_t admissions_per_second(double rate,
                                     const slow_start_limits &limits) {
   const double bound = rate * limits.overshoot + limits.slack;
-  const double dealt = std::min(rate, bound * dealt_share);
-  return static_cast<std::uint32_t>(std::max(std::floor(dealt), 1.0));
+  const double assigned = std::min(rate, bound * max_assigned_share);
+  return static_cast<std::uint32_t>(std::max(std::floor(assigned), 1.0));
 }
 
 void slow_start::begin(timestamp until) {
@@ -56,7 +55,7 @@
   if (owned == 0) {
     return std::nullopt;
   }
-  // One more fits once all but `owned` - 1 of those sent have left the window.
+  // Another request fits once at most `owned` - 1 are left in the window.
   if (sent_.size() < owned) {
     return now;
   }
--- a/src/balance/slow_start.hpp
+++ b/src/balance/slow_start.hpp
@@ -1,15 +1,14 @@
-// Admits requests to a replica that is warming up: a few a second over all
-// gateways together, until it is warm.
+// Slow start: limits the rate of requests, summed over all gateways, to a
+// replica that is warming up.
 //
-// The load that this answers: replicas come back cold while the others are
-// full. A cold one shows no load, so that every gateway would choose it, and it
-// falls over under more than it bears. So each of its admissions in a second is
-// dealt to one gateway by a hash (`admission_share`), and that gateway sends
-// one request for it within any second. The sum stays within what the replica
-// bears whichever gateways the demand comes through, and no message passes for
-// it.
+// A replica that has just started shows no load, so every gateway would choose
+// it while the others are full, and it would be overloaded. Each of its
+// admissions per second is therefore assigned to one gateway by a hash
+// (`admission_share`), and that gateway sends at most one request for it in any
+// second. The total stays within the replica's capacity however the demand is
+// spread over the gateways, without further messages between them.
 //
-// It decides only: no I/O, no clock, no randomness of its own.
+// Pure logic: no I/O and no randomness; the caller passes the time.
 #pragma once
 
 #include "balance/admission_share.hpp"
@@ -21,57 +20,58 @@
 
 namespace heathtrestle::balance {
 
-/// What a replica that warms up may get in any second, from all gateways
-/// together: `overshoot` times the rate that it bears, and `slack` more.
+/// Bound of the requests that a warming replica may receive in any second from
+/// all gateways together: `overshoot` times its cold-start rate, plus `slack`.
 struct slow_start_limits {
-  /// 0 where replicas are not held to anything.
+  /// Zero disables the limit.
   double overshoot = 0;
   double slack = 0; // requests
 
   [[nodiscard]] bool enforced() const { return overshoot > 0; }
 };
 
-/// Requests that are dealt out for each second: at most half of the bound, but
-/// one at the least, for a replica that gets nothing would idle until it is
-/// warm.
-/// @param rate what the replica bears, in requests a second.
+/// Admissions per second that are distributed among the gateways: at most half
+/// of the bound, but at least one, so that the replica does not stay idle.
+/// @param rate requests per second that the replica can serve while it is cold.
 std::uint32_t admissions_per_second(double rate,
                                     const slow_start_limits &limits);
 
-/// One replica's slow start, as one gateway sees it.
+/// The slow start of one replica at one gateway.
 class slow_start {
 public:
-  /// @param key a hash of the replica: decides who gets its admissions.
+  /// @param key hash of the replica; places its admissions on the ring.
   explicit slow_start(std::uint64_t key = 0) : key_(key) {}
 
-  /// @param admissions requests that all gateways together send it in a second
-  /// while it is cold; 0 where it is never held to any.
+  /// @param admissions requests per second from all gateways together while the
+  /// replica is cold; 0 disables the limit.
   void set_admissions(std::uint32_t admissions) { admissions_ = admissions; }
-  /// It is cold until then; what it was told to be before is void. What was
-  /// sent lately goes on counting.
+  /// Starts the cold phase, or replaces its end. Requests sent within the last
+  /// second still count.
   void begin(timestamp until);
-  /// It is warm.
+  /// Ends the cold phase.
   void end() { until_ = {}; }
 
   [[nodiscard]] bool cold(timestamp now) const {
     return admissions_ > 0 && now < until_;
   }
-  /// True from its beginning until `end`, also when its time is up.
+  /// True from `begin` until `end`, even after `cold_until` has passed.
   [[nodiscard]] bool begun() const { return until_ != timestamp{}; }
   [[nodiscard]] timestamp cold_until() const { return until_; }
   [[nodiscard]] std::uint32_t admissions() const { return admissions_; }
-  /// Requests sent since it began.
+  /// Requests sent since `begin`.
   [[nodiscard]] std::uint32_t sent() const { return sent_since_begin_; }
 
-  /// Admissions a second that are this gateway's.
+  /// Admissions per second that belong to this gateway.
   [[nodiscard]] std::uint32_t owned_admissions(const admission_share &share,
                                                timestamp now) const;
-  /// When this gateway may send it the next request: `now` where it may at
-  /// once, nothing where no admission is its own.
+  /// When this gateway may send the next request: `now` if immediately, nothing
+  /// if it owns no admission.
   [[nodiscard]] std::optional<timestamp>
   next_admission(const admission_share &share, timestamp now) const;
-  /// A request leaves for the replica, cold or not: it may turn cold within the
-  /// second. It counts however it ends, for the replica has it to bear.
+  /// Records a request sent to the replica. Must also be called while the
+  /// replica is warm, since the request counts if the cold phase begins within
+  /// the second. Failed requests count as well, since the replica has to handle
+  /// them.
   void record_sent(timestamp now);
 
 private:
@@ -79,7 +79,7 @@
   timestamp until_{};
   std::uint32_t admissions_ = 0;
   std::uint32_t sent_since_begin_ = 0;
-  /// When requests were sent, within the last second.
+  /// Send times of the requests in the window.
   std::deque<timestamp> sent_;
 };
 
--- a/tests/balance/engine_cost_model_test.cpp
+++ b/tests/balance/engine_cost_model_test.cpp
@@ -10,11 +10,12 @@
 namespace heathtrestle::balance {
 namespace {
 
-/// Turns at an engine that behaves as stated, with the noise that queueing
-/// makes: now and then a request waits long, and none is ever early.
-class made_up_engine {
+/// Generates turns of an engine with the given costs and exponentially
+/// distributed queueing delay.
+class simulated_engine {
 public:
-  made_up_engine(double ms_per_token, double ms_per_running, std::uint64_t seed)
+  simulated_engine(double ms_per_token, double ms_per_running,
+                   std::uint64_t seed)
       : ms_per_token_(ms_per_token), ms_per_running_(ms_per_running),
         random_(seed) {}
 
@@ -30,7 +31,7 @@
     made.event_gap_ms = 12 + made.running * ms_per_running_ / made.events;
     return made;
   }
-  /// A turn that a fault has held up.
+  /// A turn that was delayed by a fault.
   turn_observation disturbed() {
     turn_observation made = turn();
     made.first_event_ms += 4000;
@@ -46,12 +47,12 @@
 
 class engine_cost_model_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(engine_cost_model_test);
-  CPPUNIT_TEST(before_any_turn_the_prior_holds);
-  CPPUNIT_TEST(engines_of_any_speed_are_learnt_in_a_hundred_turns);
-  CPPUNIT_TEST(what_running_requests_cost_is_learnt);
-  CPPUNIT_TEST(a_tenth_of_turns_held_up_moves_little);
-  CPPUNIT_TEST(a_change_of_speed_is_followed);
-  CPPUNIT_TEST(turns_that_are_all_alike_teach_no_rate);
+  CPPUNIT_TEST(uses_the_prior_before_the_first_turn);
+  CPPUNIT_TEST(learns_prefill_speed_within_a_hundred_turns);
+  CPPUNIT_TEST(learns_cost_of_running_requests);
+  CPPUNIT_TEST(tolerates_a_tenth_of_delayed_turns);
+  CPPUNIT_TEST(follows_a_change_of_speed);
+  CPPUNIT_TEST(identical_turns_keep_the_prior_rate);
   CPPUNIT_TEST(costs_are_never_negative);
   CPPUNIT_TEST_SUITE_END();
 
@@ -64,17 +65,17 @@
   }
 
 public:
-  void before_any_turn_the_prior_holds() {
+  void uses_the_prior_before_the_first_turn() {
     const engine_costs costs = engine_cost_model().costs();
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.01, costs.ms_per_token, 1e-9);
     CPPUNIT_ASSERT(costs.ms_per_running > 0);
     CPPUNIT_ASSERT(costs.turn_ms > 0);
   }
 
-  void engines_of_any_speed_are_learnt_in_a_hundred_turns() {
-    // 3.8, 12, 38 and 380 tokens a millisecond.
+  void learns_prefill_speed_within_a_hundred_turns() {
+    // 3.8, 12, 38 and 380 tokens per millisecond.
     for (const double ms_per_token : {1 / 3.8, 1 / 12.0, 1 / 38.0, 1 / 380.0}) {
-      made_up_engine engine(ms_per_token, 5, 3);
+      simulated_engine engine(ms_per_token, 5, 3);
       engine_cost_model model;
       for (int turn = 0; turn < 100; ++turn) {
         model.observe(engine.turn());
@@ -84,9 +85,9 @@
     }
   }
 
-  void what_running_requests_cost_is_learnt() {
+  void learns_cost_of_running_requests() {
     for (const double ms_per_running : {1.0, 5.0, 20.0}) {
-      made_up_engine engine(1 / 38.0, ms_per_running, 4);
+      simulated_engine engine(1 / 38.0, ms_per_running, 4);
       engine_cost_model model;
       for (int turn = 0; turn < 300; ++turn) {
         model.observe(engine.turn());
@@ -96,8 +97,8 @@
     }
   }
 
-  void a_tenth_of_turns_held_up_moves_little() {
-    made_up_engine engine(1 / 38.0, 5, 5);
+  void tolerates_a_tenth_of_delayed_turns() {
+    simulated_engine engine(1 / 38.0, 5, 5);
     engine_cost_model model;
     for (int turn = 0; turn < 400; ++turn) {
       model.observe(turn % 10 == 9 ? engine.disturbed() : engine.turn());
@@ -105,9 +106,9 @@
     check_rate(1 / 38.0, model, 0.3);
   }
 
-  void a_change_of_speed_is_followed() {
-    made_up_engine before(1 / 270.0, 5, 6);
-    made_up_engine after(1 / 27.0, 5, 7);
+  void follows_a_change_of_speed() {
+    simulated_engine before(1 / 270.0, 5, 6);
+    simulated_engine after(1 / 27.0, 5, 7);
     engine_cost_model model;
     for (int turn = 0; turn < 1000; ++turn) {
       model.observe(before.turn());
@@ -118,7 +119,7 @@
     check_rate(1 / 27.0, model, 0.3);
   }
 
-  void turns_that_are_all_alike_teach_no_rate() {
+  void identical_turns_keep_the_prior_rate() {
     engine_cost_model model;
     for (int turn = 0; turn < 500; ++turn) {
       model.observe({.missing_tokens = 0,
@@ -150,13 +151,13 @@
 
 class replica_speed_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(replica_speed_test);
-  CPPUNIT_TEST(a_slow_replica_is_told_by_its_answers);
-  CPPUNIT_TEST(one_long_answer_moves_little);
-  CPPUNIT_TEST(what_was_waited_fades);
+  CPPUNIT_TEST(detects_a_slow_replica);
+  CPPUNIT_TEST(tolerates_one_slow_response);
+  CPPUNIT_TEST(excess_wait_decays);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void a_slow_replica_is_told_by_its_answers() {
+  void detects_a_slow_replica() {
     replica_speed speed;
     CPPUNIT_ASSERT_EQUAL(1.0, speed.slowdown());
     for (int answer = 0; answer < 60; ++answer) {
@@ -165,13 +166,13 @@
     CPPUNIT_ASSERT(speed.slowdown() > 4.5 && speed.slowdown() <= 5);
   }
 
-  void one_long_answer_moves_little() {
+  void tolerates_one_slow_response() {
     replica_speed speed;
     speed.record_duration(10000, 10);
     CPPUNIT_ASSERT(speed.slowdown() < 2);
   }
 
-  void what_was_waited_fades() {
+  void excess_wait_decays() {
     replica_speed speed;
     const timestamp start = timestamp_from(1000);
     CPPUNIT_ASSERT_EQUAL(0.0, speed.wait_ms(start));
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -1,6 +1,5 @@
-// Many gateways that admit requests to replicas which have just started, each
-// by what it was told of the others some time ago: whether a replica ever gets
-// more than it bears, and how much of that it gets.
+// Guards against overloading replicas that have just started when many gateways
+// admit requests by stale reports, and against leaving admissions unused.
 #include "balance/admission_share.hpp"
 #include "balance/slow_start.hpp"
 #include "base/ids.hpp"
@@ -25,8 +24,8 @@
 
 const timestamp start = timestamp_from(1000000);
 constexpr duration_ms one_second{1000};
-constexpr duration_ms telling{200};
-/// Long enough for every gateway to be sure of its arc.
+constexpr duration_ms report_interval{200};
+/// Long enough for every gateway's arc to become usable.
 constexpr duration_ms settling{8000};
 constexpr std::size_t replicas = 6;
 constexpr slow_start_limits limits{.overshoot = 1.5, .slack = 5};
@@ -35,21 +34,21 @@
 
 double bound_of(double rate) { return rate * limits.overshoot + limits.slack; }
 
-/// What one gateway goes by: whether it may send to a replica now.
+/// The admission policy of one gateway.
 class policy {
 public:
   virtual ~policy() = default;
   virtual bool admit(std::size_t replica, timestamp now) = 0;
-  /// What it tells the others of its demand.
+  /// The demand that it reports to the other gateways.
   virtual std::uint32_t demand(timestamp) { return 0; }
   virtual void take(const wire::SharedLoads &, std::uint32_t /*others*/,
                     timestamp) {}
 };
 
-/// Admissions dealt to the gateways by a hash.
-class dealt final : public policy {
+/// Admissions assigned to the gateways by a hash; the policy in production.
+class hashed_assignment final : public policy {
 public:
-  explicit dealt(double rate) {
+  explicit hashed_assignment(double rate) {
     for (std::size_t number = 0; number < replicas; ++number) {
       slow_start &each = starts_.emplace_back(
           stable_hash("replica-" + std::to_string(number)));
@@ -76,10 +75,10 @@
   std::vector<slow_start> starts_;
 };
 
-/// Parts of the rate by the demand that gateways tell each other.
-class by_demand final : public policy {
+/// Comparison policy: splits the rate in proportion to the reported demand.
+class demand_split final : public policy {
 public:
-  by_demand(double rate, double credit) : rate_(rate) {
+  demand_split(double rate, double credit) : rate_(rate) {
     paces_.fill(tenants::token_bucket(credit));
   }
   bool admit(std::size_t replica, timestamp now) override {
@@ -106,8 +105,8 @@
       tenants::token_bucket(0), tenants::token_bucket(0)};
 };
 
-/// Requests come to gateways whose other replicas are full: each goes to a cold
-/// one that has an admission for it, if there is any.
+/// Simulates gateways whose warm replicas are full: each request goes to a cold
+/// replica with a free admission, if there is one.
 class fleet {
 public:
   using maker = std::function<std::unique_ptr<policy>(double random)>;
@@ -139,13 +138,13 @@
     gateways_[number].decides = make_(unit_(random_));
   }
   void lose_board() { board_ = {}; }
-  /// So many of the gateways hear of nobody, and nobody of them.
+  /// Disconnects the first `count` gateways from the load board.
   void cut_off(std::size_t count) { cut_ = count; }
-  /// They have a board of their own from now on.
+  /// Moves the first `count` gateways to a separate load board.
   void split(std::size_t count) { split_ = count; }
 
-  /// The most requests that one replica got in any second.
-  [[nodiscard]] std::size_t most_in_second() const {
+  /// The maximum number of requests that one replica got in any second.
+  [[nodiscard]] std::size_t max_in_second() const {
     std::size_t most = 0;
     for (const std::vector<timestamp> &sent : sent_) {
       std::size_t first = 0;
@@ -158,7 +157,7 @@
     }
     return most;
   }
-  /// Requests that a replica got in a second, on the average.
+  /// Mean number of requests that a replica got per second.
   [[nodiscard]] double mean_in_second() const {
     std::size_t sum = 0;
     for (const std::vector<timestamp> &sent : sent_) {
@@ -175,8 +174,8 @@
 private:
   struct member {
     std::unique_ptr<policy> decides;
-    timestamp tells_next{};
-    std::uint32_t told_demand = 0;
+    timestamp next_report{};
+    std::uint32_t reported_demand = 0;
   };
   struct answer {
     std::size_t gateway = 0;
@@ -187,7 +186,7 @@
 
   void request(std::size_t number) {
     member &own = gateways_[number];
-    if (now_ >= own.tells_next && number >= cut_) {
+    if (now_ >= own.next_report && number >= cut_) {
       tell(number);
     }
     const std::size_t first = random_() % replicas;
@@ -203,17 +202,17 @@
   void tell(std::size_t number) {
     member &own = gateways_[number];
     records::load_board &board = number < split_ ? split_board_ : board_;
-    own.tells_next = now_ + telling;
-    demand_ -= own.told_demand;
-    own.told_demand = own.decides->demand(now_);
-    demand_ += own.told_demand;
+    own.next_report = now_ + report_interval;
+    demand_ -= own.reported_demand;
+    own.reported_demand = own.decides->demand(now_);
+    demand_ += own.reported_demand;
     wire::ReplicaLoads loads;
     loads.set_told_ms(milliseconds_of(now_));
     const std::string name = "10.0.0." + std::to_string(number);
     board.tell(name, loads, now_);
     answers_.push_back({.gateway = number,
                         .loads = board.others(name, now_),
-                        .others = demand_ - own.told_demand,
+                        .others = demand_ - own.reported_demand,
                         .due = now_ + duration_ms{20}});
   }
 
@@ -240,13 +239,13 @@
   timestamp counting_from_ = start;
 };
 
-fleet::maker dealing(double rate) {
-  return [rate](double) { return std::make_unique<dealt>(rate); };
+fleet::maker assign_by_hash(double rate) {
+  return [rate](double) { return std::make_unique<hashed_assignment>(rate); };
 }
 
-fleet::maker parting(double rate) {
+fleet::maker split_by_demand(double rate) {
   return [rate](double random) {
-    return std::make_unique<by_demand>(rate, random);
+    return std::make_unique<demand_split>(rate, random);
   };
 }
 
@@ -255,62 +254,62 @@
 
 class slow_start_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(slow_start_test);
-  CPPUNIT_TEST(an_arc_counts_once_nobody_else_believes_in_it);
-  CPPUNIT_TEST(what_an_arc_loses_is_lost_at_once);
-  CPPUNIT_TEST(what_an_arc_gains_counts_later);
-  CPPUNIT_TEST(an_arc_that_is_not_told_again_lapses);
-  CPPUNIT_TEST(a_late_answer_makes_no_arc_younger);
+  CPPUNIT_TEST(an_arc_is_usable_after_the_settling_time);
+  CPPUNIT_TEST(a_shorter_arc_takes_effect_at_once);
+  CPPUNIT_TEST(a_longer_arc_takes_effect_after_the_settling_time);
+  CPPUNIT_TEST(an_arc_expires_without_reports);
+  CPPUNIT_TEST(a_late_response_does_not_extend_the_lifetime);
   CPPUNIT_TEST(admissions_stay_within_half_of_the_bound);
-  CPPUNIT_TEST(an_admission_serves_once_in_any_second);
-  CPPUNIT_TEST(what_was_sent_while_warm_counts_when_it_turns_cold);
-  CPPUNIT_TEST(a_gateway_that_heard_of_nobody_sends_nothing);
-  CPPUNIT_TEST(steady_fleets_keep_the_bound_and_use_it);
+  CPPUNIT_TEST(an_admission_is_used_once_in_any_second);
+  CPPUNIT_TEST(requests_sent_while_warm_count_when_cold);
+  CPPUNIT_TEST(a_gateway_without_reports_sends_nothing);
+  CPPUNIT_TEST(stable_fleets_keep_the_bound_and_use_it);
   CPPUNIT_TEST(restarts_of_gateways_keep_the_bound);
-  CPPUNIT_TEST(another_teller_keeps_the_bound);
+  CPPUNIT_TEST(a_change_of_load_board_keeps_the_bound);
   CPPUNIT_TEST(gateways_that_are_cut_off_keep_the_bound);
-  CPPUNIT_TEST(two_tellers_at_once_keep_the_bound);
-  CPPUNIT_TEST(parts_by_demand_pass_the_bound);
+  CPPUNIT_TEST(two_load_boards_keep_the_bound);
+  CPPUNIT_TEST(splitting_by_demand_exceeds_the_bound);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void an_arc_counts_once_nobody_else_believes_in_it() {
+  void an_arc_is_usable_after_the_settling_time() {
     admission_share share;
-    hear(share, some_length, admission_share::settling_time);
+    report(share, some_length, admission_share::settling_time);
     CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_ - duration_ms{1}).length);
     share.update({some_end, some_length}, now_, now_);
     CPPUNIT_ASSERT_EQUAL(some_length, share.owned_arc(now_).length);
   }
 
-  void what_an_arc_loses_is_lost_at_once() {
+  void a_shorter_arc_takes_effect_at_once() {
     admission_share share;
-    hear(share, some_length, settling);
+    report(share, some_length, settling);
     share.update({some_end, some_length / 2}, now_, now_);
     CPPUNIT_ASSERT_EQUAL(some_length / 2, share.owned_arc(now_).length);
   }
 
-  void what_an_arc_gains_counts_later() {
+  void a_longer_arc_takes_effect_after_the_settling_time() {
     admission_share share;
-    hear(share, some_length, settling);
+    report(share, some_length, settling);
     const timestamp gained = now_;
-    hear(share, 2 * some_length, admission_share::settling_time);
+    report(share, 2 * some_length, admission_share::settling_time);
     CPPUNIT_ASSERT_EQUAL(some_length, share.owned_arc(now_).length);
-    hear(share, 2 * some_length, telling);
+    report(share, 2 * some_length, report_interval);
     CPPUNIT_ASSERT(now_ > gained + admission_share::settling_time);
     CPPUNIT_ASSERT_EQUAL(2 * some_length, share.owned_arc(now_).length);
   }
 
-  void an_arc_that_is_not_told_again_lapses() {
+  void an_arc_expires_without_reports() {
     admission_share share;
-    hear(share, some_length, settling);
+    report(share, some_length, settling);
     now_ += admission_share::report_lifetime;
     CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_).length);
-    hear(share, some_length, telling);
+    report(share, some_length, report_interval);
     CPPUNIT_ASSERT_EQUAL(0U, share.owned_arc(now_).length);
   }
 
-  void a_late_answer_makes_no_arc_younger() {
+  void a_late_response_does_not_extend_the_lifetime() {
     admission_share share;
-    hear(share, some_length, settling);
+    report(share, some_length, settling);
     const timestamp asked = now_;
     now_ += admission_share::report_lifetime;
     share.update({some_end, some_length}, asked, now_);
@@ -323,7 +322,7 @@
     CPPUNIT_ASSERT_EQUAL(1U, admissions_per_second(0.3, limits));
   }
 
-  void an_admission_serves_once_in_any_second() {
+  void an_admission_is_used_once_in_any_second() {
     const admission_share share = whole_ring();
     slow_start cold(1);
     cold.set_admissions(2);
@@ -336,7 +335,7 @@
     CPPUNIT_ASSERT(next < now_ + one_second + duration_ms{100});
   }
 
-  void what_was_sent_while_warm_counts_when_it_turns_cold() {
+  void requests_sent_while_warm_count_when_cold() {
     const admission_share share = whole_ring();
     slow_start cold(1);
     cold.set_admissions(1);
@@ -349,27 +348,27 @@
     CPPUNIT_ASSERT(!cold.cold(now_));
   }
 
-  void a_gateway_that_heard_of_nobody_sends_nothing() {
+  void a_gateway_without_reports_sends_nothing() {
     slow_start cold(1);
     cold.set_admissions(22);
     cold.begin(now_ + settling);
     CPPUNIT_ASSERT(!cold.next(admission_share{}, now_).has_value());
   }
 
-  void steady_fleets_keep_the_bound_and_use_it() {
+  void stable_fleets_keep_the_bound_and_use_it() {
     for (const std::size_t count : {57U, 340U}) {
       for (const double rate : {slow_rate, fast_rate}) {
-        fleet all(count, dealing(rate));
+        fleet all(count, assign_by_hash(rate));
         all.run(duration_ms{30000}, demand);
-        const double dealt_out = admissions_per_second(rate, limits);
-        CPPUNIT_ASSERT(all.most_in_second() <= dealt_out);
-        CPPUNIT_ASSERT(all.mean_in_second() > least_use * dealt_out);
+        const double assigned = admissions_per_second(rate, limits);
+        CPPUNIT_ASSERT(all.max_in_second() <= assigned);
+        CPPUNIT_ASSERT(all.mean_in_second() > min_use * assigned);
       }
     }
   }
 
   void restarts_of_gateways_keep_the_bound() {
-    fleet all(57, dealing(slow_rate));
+    fleet all(57, assign_by_hash(slow_rate));
     all.run(settling, demand);
     for (std::size_t number = 0; number < 57; number += 2) {
       all.restart(number);
@@ -378,35 +377,35 @@
     assert_bound(all, slow_rate);
   }
 
-  void another_teller_keeps_the_bound() {
+  void a_change_of_load_board_keeps_the_bound() {
     for (const double rate : {slow_rate, fast_rate}) {
-      fleet all(340, dealing(rate));
+      fleet all(340, assign_by_hash(rate));
       all.run(settling, demand);
       for (int change = 0; change < 4; ++change) {
         all.lose_board();
         all.run(duration_ms{2500}, demand);
       }
-      CPPUNIT_ASSERT(all.most_in_second() <=
+      CPPUNIT_ASSERT(all.max_in_second() <=
                      admissions_per_second(rate, limits));
     }
   }
 
   void gateways_that_are_cut_off_keep_the_bound() {
     for (const std::size_t cut : {1U, 20U, 40U}) {
-      fleet all(57, dealing(slow_rate));
+      fleet all(57, assign_by_hash(slow_rate));
       all.run(settling, demand);
       all.cut_off(cut);
       all.run(settling, demand);
       all.cut_off(0);
       all.run(settling, demand);
-      CPPUNIT_ASSERT(all.most_in_second() <=
+      CPPUNIT_ASSERT(all.max_in_second() <=
                      admissions_per_second(slow_rate, limits));
     }
   }
 
-  void two_tellers_at_once_keep_the_bound() {
+  void two_load_boards_keep_the_bound() {
     for (const double rate : {slow_rate, fast_rate}) {
-      fleet all(57, dealing(rate));
+      fleet all(57, assign_by_hash(rate));
       all.run(settling, demand);
       all.split(25);
       all.run(2 * settling, demand);
@@ -414,37 +413,38 @@
     }
   }
 
-  // The way that was not taken: a part of a few requests a second is less than
-  // one for most gateways, and what each has saved up may come together.
-  void parts_by_demand_pass_the_bound() {
-    fleet all(340, parting(slow_rate));
+  // Shows why the rate isn't split by demand: most gateways get less than one
+  // request per second, and their accumulated credits may be spent together.
+  void splitting_by_demand_exceeds_the_bound() {
+    fleet all(340, split_by_demand(slow_rate));
     all.run(duration_ms{30000}, demand);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_second()) >
+    CPPUNIT_ASSERT(static_cast<double>(all.max_in_second()) >
                    bound_of(slow_rate));
   }
 
 private:
-  /// Requests a second that come while all else is full.
+  /// Requests per second that arrive while the warm replicas are full.
   static constexpr double demand = 1500;
-  /// Of what is dealt out, used though half of the demand comes through an
-  /// eighth of the gateways.
-  static constexpr double least_use = 0.6;
+  /// Minimum share of the admissions used although half of the demand arrives
+  /// at an eighth of the gateways.
+  static constexpr double min_use = 0.6;
 
   static void assert_bound(const fleet &all, double rate) {
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_second()) <= bound_of(rate));
+    CPPUNIT_ASSERT(static_cast<double>(all.max_in_second()) <= bound_of(rate));
   }
 
-  /// The arc is told again and again for `span`.
-  void hear(admission_share &share, std::uint32_t length, duration_ms span) {
+  /// Reports the arc repeatedly for `span`.
+  void report(admission_share &share, std::uint32_t length, duration_ms span) {
     const timestamp end = now_ + span;
-    for (; now_ < end; now_ += telling) {
+    for (; now_ < end; now_ += report_interval) {
       share.update({some_end, length}, now_, now_);
     }
   }
 
   admission_share whole_ring() {
     admission_share share;
-    for (const timestamp end = now_ + settling; now_ < end; now_ += telling) {
+    for (const timestamp end = now_ + settling; now_ < end;
+         now_ += report_interval) {
       share.update({0, std::numeric_limits<std::uint32_t>::max()}, now_, now_);
     }
     return share;
--- a/tests/balance/stale_loads_test.cpp
+++ b/tests/balance/stale_loads_test.cpp
@@ -1,5 +1,5 @@
-// Many gateways that place turns by loads which they share through one board
-// and which are some time old: whether the engines get even shares.
+// Guards against herding: many gateways that place turns by the same stale load
+// reports must still spread them evenly over the engines.
 #include "balance/instance_choice.hpp"
 #include "balance/load_estimate.hpp"
 #include "records/load_board.hpp"
@@ -19,21 +19,21 @@
 
 constexpr double turn_ms = 150;
 constexpr std::uint32_t slots = 6;
-/// How often a gateway tells its loads at most, in milliseconds.
-constexpr int tell_interval_ms = 200;
-constexpr int played_ms = 12000;
+/// Minimum interval between a gateway's load reports, in milliseconds.
+constexpr int report_interval_ms = 200;
+constexpr int simulated_ms = 12000;
 
 const engine_choice_options engines{.costs = {.ms_per_token = 1.0 / 270,
                                               .ms_per_running = 5,
                                               .turn_ms = turn_ms},
                                     .zone_preference = 0.1};
 
-/// One gateway's own requests and what it was last told of the others'.
+/// One gateway's own requests and the last report on those of the others.
 struct gateway_view {
   std::vector<std::uint32_t> own;
   std::vector<double> others;
-  timestamp told_at{};
-  timestamp tells_next{};
+  timestamp reported_at{};
+  timestamp next_report{};
 };
 
 using chooser = std::function<std::size_t(const gateway_view &, timestamp,
@@ -48,9 +48,9 @@
 };
 
 struct outcome {
-  /// Turns of the busiest engine over the mean.
+  /// Turns of the busiest engine divided by the mean.
   double skew = 0;
-  /// Share of turns that came to an engine whose slots were all taken.
+  /// Share of turns that arrived at an engine without a free slot.
   double queued = 0;
 };
 
@@ -69,13 +69,13 @@
     view.others[shared.others().replicas(place)] =
         shared.others().running(place);
   }
-  view.told_at = now - duration_ms{shared.age_ms()};
+  view.reported_at = now - duration_ms{shared.age_ms()};
 }
 
-/// Plays turns that arrive at random gateways at random times, with `load` of
-/// all slots in use on the average.
-outcome play(std::size_t gateways, std::size_t engine_count, double load,
-             const chooser &choose) {
+/// Simulates turns that arrive at random gateways at random times and occupy a
+/// share of `load` of all slots on average.
+outcome simulate(std::size_t gateways, std::size_t engine_count, double load,
+                 const chooser &choose) {
   std::mt19937_64 random(gateways);
   std::exponential_distribution<double> gap(
       load * slots * static_cast<double>(engine_count) / turn_ms);
@@ -91,7 +91,7 @@
   std::priority_queue<turn_end, std::vector<turn_end>, std::greater<>> ends;
   std::uint32_t turns = 0;
   std::uint32_t queued = 0;
-  for (double at = gap(random); at < played_ms; at += gap(random)) {
+  for (double at = gap(random); at < simulated_ms; at += gap(random)) {
     const auto at_ms = static_cast<int>(at);
     const timestamp now = timestamp_from(100000 + at_ms);
     while (!ends.empty() && ends.top().at_ms <= at_ms) {
@@ -101,11 +101,11 @@
     }
     const std::size_t gateway = random() % gateways;
     gateway_view &view = views[gateway];
-    if (now >= view.tells_next) {
+    if (now >= view.next_report) {
       const std::string name = std::to_string(gateway);
       board.tell(name, loads_of(view), now);
       take(view, board.others(name, now), now);
-      view.tells_next = now + duration_ms{tell_interval_ms};
+      view.next_report = now + duration_ms{report_interval_ms};
     }
     const std::size_t engine = choose(view, now, random());
     ++turns;
@@ -125,7 +125,7 @@
   return std::vector<candidate>(count, {.slots = slots, .same_zone = true});
 }
 
-/// What gateways do that take the reported loads at face value.
+/// Naive choice that takes the reported loads at face value.
 std::size_t least_reported(const gateway_view &view, timestamp,
                            std::uint64_t random) {
   std::vector<candidate> nodes = idle_engines(view.own.size());
@@ -135,12 +135,12 @@
   return *choose_engine(nodes, random, engines);
 }
 
-/// What gateways do.
+/// The choice in production: accounts for the age of the reports.
 std::size_t by_age(const gateway_view &view, timestamp now,
                    std::uint64_t random) {
   std::vector<reported_load> reports;
   for (const double running : view.others) {
-    reports.push_back({.running = running, .at = view.told_at});
+    reports.push_back({.running = running, .at = view.reported_at});
   }
   const auto others = estimate_loads(reports, now, turn_ms);
   std::vector<candidate> nodes = idle_engines(view.own.size());
@@ -159,25 +159,25 @@
 
 class stale_loads_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(stale_loads_test);
-  CPPUNIT_TEST(a_fresh_report_stands);
-  CPPUNIT_TEST(an_old_report_tells_the_usual_load);
-  CPPUNIT_TEST(newcomers_fill_the_lowest_engines);
-  CPPUNIT_TEST(without_reports_nothing_is_known);
-  CPPUNIT_TEST(gateways_that_believe_old_loads_rush_to_one_engine);
+  CPPUNIT_TEST(a_fresh_report_is_used_unchanged);
+  CPPUNIT_TEST(an_old_report_yields_the_average_load);
+  CPPUNIT_TEST(arrivals_fill_the_least_loaded_engines);
+  CPPUNIT_TEST(estimates_are_zero_without_reports);
+  CPPUNIT_TEST(naive_use_of_stale_loads_causes_herding);
   CPPUNIT_TEST(few_gateways_beat_random_choice);
   CPPUNIT_TEST(many_gateways_spread_their_turns);
-  CPPUNIT_TEST(a_kept_prompt_is_worth_more_than_an_old_report);
+  CPPUNIT_TEST(a_cached_prompt_outweighs_an_old_report);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void a_fresh_report_stands() {
+  void a_fresh_report_is_used_unchanged() {
     const std::vector<reported_load> reports{{7, now_}, {2, now_}};
     const auto loads = estimate_loads(reports, now_, turn_ms);
     CPPUNIT_ASSERT(loads[0] == (load_estimate{.running = 7}));
     CPPUNIT_ASSERT(loads[1] == (load_estimate{.running = 2}));
   }
 
-  void an_old_report_tells_the_usual_load() {
+  void an_old_report_yields_the_average_load() {
     const timestamp old = now_ - duration_ms{3000};
     const std::vector<reported_load> reports{{7, old}, {0, old}, {2, old}};
     for (const load_estimate &each : estimate_loads(reports, now_, turn_ms)) {
@@ -186,8 +186,8 @@
     }
   }
 
-  void newcomers_fill_the_lowest_engines() {
-    // Half of all requests have ended, and four have come.
+  void arrivals_fill_the_least_loaded_engines() {
+    // Half of all requests have ended, and four have arrived.
     const timestamp half = now_ - duration_ms{104}; // turn_ms x ln 2
     const std::vector<reported_load> reports{{8, half}, {0, half}, {0, half}};
     const auto loads = estimate_loads(reports, now_, turn_ms);
@@ -197,22 +197,22 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(2, loads[2].expected_arrivals, 0.01);
   }
 
-  void without_reports_nothing_is_known() {
+  void estimates_are_zero_without_reports() {
     const std::vector<reported_load> reports(3);
     for (const load_estimate &each : estimate_loads(reports, now_, turn_ms)) {
       CPPUNIT_ASSERT(each == load_estimate{});
     }
   }
 
-  // The harness sees the rush that the choice has to avoid.
-  void gateways_that_believe_old_loads_rush_to_one_engine() {
-    CPPUNIT_ASSERT(play(70, 44, 0.5, least_reported).queued >
-                   2 * play(70, 44, 0.5, at_random).queued);
+  // Verifies that the simulation reproduces the herding of the naive choice.
+  void naive_use_of_stale_loads_causes_herding() {
+    CPPUNIT_ASSERT(simulate(70, 44, 0.5, least_reported).queued >
+                   2 * simulate(70, 44, 0.5, at_random).queued);
   }
 
   void few_gateways_beat_random_choice() {
-    const outcome chosen = play(8, 12, 0.5, by_age);
-    const outcome random = play(8, 12, 0.5, at_random);
+    const outcome chosen = simulate(8, 12, 0.5, by_age);
+    const outcome random = simulate(8, 12, 0.5, at_random);
     CPPUNIT_ASSERT(chosen.queued < 0.5 * random.queued);
   }
 
@@ -222,8 +222,8 @@
                                           {70U, 44U},
                                           {259U, 122U},
                                           {335U, 600U}}) {
-      const outcome chosen = play(gateways, count, 0.5, by_age);
-      const outcome random = play(gateways, count, 0.5, at_random);
+      const outcome chosen = simulate(gateways, count, 0.5, by_age);
+      const outcome random = simulate(gateways, count, 0.5, at_random);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(gateways) +
                                  " gateways: " + std::to_string(chosen.queued) +
                                  " queued, at random " +
@@ -235,7 +235,7 @@
     }
   }
 
-  void a_kept_prompt_is_worth_more_than_an_old_report() {
+  void a_cached_prompt_outweighs_an_old_report() {
     const timestamp old = now_ - duration_ms{1500};
     std::vector<reported_load> reports(40, {.running = 1, .at = old});
     reports[0].running = 3;
