--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -352,7 +352,7 @@
     slow_start cold(1);
     cold.set_admissions(22);
     cold.begin(now_ + settling);
-    CPPUNIT_ASSERT(!cold.next(admission_share{}, now_).has_value());
+    CPPUNIT_ASSERT(!cold.next_admission(admission_share{}, now_).has_value());
   }
 
   void stable_fleets_keep_the_bound_and_use_it() {
