--- a/src/tenants/key_freshness.hpp
+++ b/src/tenants/key_freshness.hpp
@@ -1,11 +1,10 @@
-// How old this process's copy of the configuration can be at most.
+// Bounds the age of this process's copy of the API keys.
 //
-// A key that the operator takes away has to stop working everywhere within a
-// stated time, also on a gateway that is cut off and hears of nothing. So what
-// a gateway knows of keys is good for a limited time: it counts from the moment
-// at which the question was sent whose answer confirmed the copy, on the
-// monotonic clock, so that neither slow answers nor clocks that step make it
-// look younger than it is.
+// A revoked key has to stop working everywhere within a configured time, even
+// on a gateway that is cut off and receives no updates. A gateway therefore
+// trusts its copy for a limited time only. The time counts on the monotonic
+// clock from when the request that confirmed the copy was sent, so that neither
+// slow responses nor clock steps make the copy look newer than it is.
 #pragma once
 
 #include "base/time.hpp"
@@ -15,29 +14,30 @@
 
 namespace heathtrestle::tenants {
 
-/// What is kept of the time in which a key must stop working: a request that
-/// is let through at the very end still has to reach its replica.
+/// Part of the revocation time that is held back: a request admitted at the
+/// very end still has to reach its replica.
 inline constexpr duration_ms revocation_margin{150};
 
 class key_freshness {
 public:
-  /// @param revocation time within which a key that was taken away must stop
-  /// working; zero when there is no such promise.
+  /// @param revocation time within which a revoked key must stop working; zero
+  /// for no limit.
   explicit key_freshness(duration_ms revocation) : revocation_(revocation) {}
 
-  /// The copy was current at `moment` or later. Earlier moments change nothing.
+  /// Records that the copy was current at `moment`. Earlier moments are
+  /// ignored.
   void confirm(timestamp moment) {
     confirmed_ = std::max(confirmed_.value_or(moment), moment);
   }
 
-  /// True while keys may be relied on.
+  /// True while the keys of the copy may be accepted.
   [[nodiscard]] bool keys_valid(timestamp now) const {
-    const bool promised = revocation_.count() > 0;
-    return !promised ||
+    const bool limited = revocation_.count() > 0;
+    return !limited ||
            (confirmed_ && now < *confirmed_ + revocation_ - revocation_margin);
   }
 
-  /// @return nothing while the copy was never confirmed.
+  /// @return nothing if the copy was never confirmed.
   [[nodiscard]] std::optional<duration_ms> age(timestamp now) const {
     return confirmed_ ? std::optional(now - *confirmed_) : std::nullopt;
   }
--- a/src/tenants/key_ring.cpp
+++ b/src/tenants/key_ring.cpp
@@ -14,9 +14,11 @@
 
 namespace {
 
-bool is_quantity(double number) { return std::isfinite(number) && number >= 0; }
+bool is_finite_non_negative(double number) {
+  return std::isfinite(number) && number >= 0;
+}
 
-auto refused(const tenant &of, const std::string &reason) {
+auto invalid_tenant(const tenant &of, const std::string &reason) {
   return fail(error_code::invalid_request,
               "tenant \"" + of.id.value() + "\": " + reason, "check tenants");
 }
@@ -28,21 +30,22 @@
   std::set<api_key> keys;
   for (const tenant &each : tenants) {
     if (each.id.value().empty()) {
-      return refused(each, "a tenant needs a name");
+      return invalid_tenant(each, "the name is empty");
     }
     if (!names.insert(each.id).second) {
-      return refused(each, "the name stands twice");
+      return invalid_tenant(each, "the name is used more than once");
     }
-    if (!is_quantity(each.quota.rate_per_second) ||
-        !is_quantity(each.quota.burst)) {
-      return refused(each, "rate and burst are numbers from 0 on");
+    if (!is_finite_non_negative(each.quota.rate_per_second) ||
+        !is_finite_non_negative(each.quota.burst)) {
+      return invalid_tenant(each,
+                            "rate and burst must be finite and not negative");
     }
     for (const api_key &key : each.keys) {
       if (key.value().empty()) {
-        return refused(each, "a key is empty");
+        return invalid_tenant(each, "one of its keys is empty");
       }
       if (!keys.insert(key).second) {
-        return refused(each, "one of its keys stands elsewhere too");
+        return invalid_tenant(each, "one of its keys is used more than once");
       }
     }
   }
@@ -66,7 +69,7 @@
 
 const tenant *key_ring::find(std::string_view key) const {
   if (by_digest_.empty()) {
-    return nullptr; // clients need no keys here
+    return nullptr; // no tenants are configured, or none has a key
   }
   const auto found = by_digest_.find(digest_of(key));
   return found == by_digest_.end() ? nullptr : &tenants_[found->second];
@@ -83,8 +86,8 @@
   std::string_view key = field.substr(scheme.size());
   key.remove_prefix(std::min(key.find_first_not_of(' '), key.size()));
   key = key.substr(0, key.find_last_not_of(" \t") + 1);
-  const bool one_word = key.find_first_of(" \t,") == std::string_view::npos;
-  return one_word ? key : std::string_view{};
+  const bool single_token = key.find_first_of(" \t,") == std::string_view::npos;
+  return single_token ? key : std::string_view{};
 }
 
 } // namespace heathtrestle::tenants
--- a/src/tenants/key_ring.hpp
+++ b/src/tenants/key_ring.hpp
@@ -1,4 +1,5 @@
-// Finds the tenant of a key. Immutable, made anew with each configuration.
+// Looks up the tenant that owns an API key. Immutable; each configuration gets
+// a new key ring.
 #pragma once
 
 #include "base/error.hpp"
@@ -10,9 +11,9 @@
 
 namespace heathtrestle::tenants {
 
-/// Checks what the operator wrote.
-/// @return `invalid_request` naming the tenant: an empty or repeated name, an
-/// empty key, a key that two tenants hold, or a quota that is no number.
+/// Validates the configured tenants.
+/// @return `invalid_request` naming the tenant if a name or key is empty or not
+/// unique, or if a quota is negative or not finite.
 result<void> validate_tenants(const std::vector<tenant> &tenants);
 
 class key_ring {
@@ -20,11 +21,11 @@
   key_ring() = default;
   explicit key_ring(std::vector<tenant> tenants);
 
-  /// Keys are looked up by a keyed digest, so that the time that it takes tells
-  /// nothing about the keys that exist.
-  /// @return null when nobody holds the key.
+  /// Finds the tenant of a key. Keys are looked up by a seeded digest, so that
+  /// the lookup time reveals nothing about existing keys.
+  /// @return null if no tenant owns the key.
   [[nodiscard]] const tenant *find(std::string_view key) const;
-  /// True when no tenants are configured: then nobody needs a key.
+  /// True if no tenants are configured; clients then need no key.
   [[nodiscard]] bool empty() const { return tenants_.empty(); }
   [[nodiscard]] const std::vector<tenant> &tenants() const { return tenants_; }
 
@@ -43,13 +44,13 @@
 
   std::vector<tenant> tenants_;
   std::uint64_t seed_ = 0;
-  /// Places in `tenants_`.
+  /// Indices into `tenants_`.
   std::unordered_map<digest, std::size_t, digest_hash> by_digest_;
 };
 
-/// The key in a header field that holds a credential.
-/// @param field "SCHEME KEY"; the scheme's case is ignored.
-/// @return an empty view when the field is anything else.
+/// Extracts the key from the value of a credential header field.
+/// @param field "SCHEME KEY"; the case of the scheme is ignored.
+/// @return an empty view if the field has any other form.
 std::string_view parse_credential(std::string_view field,
                                   std::string_view scheme);
 
--- a/src/tenants/permit.hpp
+++ b/src/tenants/permit.hpp
@@ -1,5 +1,5 @@
-// Leave to send one request in a tenant's name, and what bounds how many there
-// are.
+// Permits to send one request on behalf of a tenant, and the quota terms that
+// limit their number.
 #pragma once
 
 #include "base/time.hpp"
@@ -8,25 +8,23 @@
 
 namespace heathtrestle::tenants {
 
-/// A permit counts from when it was asked for and is void after this long, so
-/// that the window in which it counts is known although its use is not told. A
-/// request that waits longer for a place asks again before it is sent; one in
-/// ten of the turns on a loaded day waits that long.
+/// A permit expires this long after it was requested, so that the window in
+/// which it counts is known without a report of its use. A request that waits
+/// longer for a slot needs a new permit before it is sent.
 inline constexpr duration_ms permit_lifetime{400};
 
-/// A tenant's quota as a configuration sets it, and what of it the operator
-/// tolerates. In whole numbers, so that all replicas of a partition compute the
-/// same.
+/// A tenant's configured quota and the tolerated excess. Integers only, so that
+/// all members of a partition compute identical results.
 struct quota_terms {
-  /// Of the configuration: terms of a later one replace those of an earlier.
+  /// Version of the configuration; terms of a newer one replace older terms.
   std::uint64_t version = 0;
   std::uint64_t millirequests_per_second = 0;
   std::uint64_t burst_millirequests = 0;
   /// Length of the sliding window in which requests are counted.
   duration_ms window{5000};
-  /// What may be sent beyond the limit of a window, in thousandths of it.
+  /// Tolerated excess over the limit of a window, in thousandths of it.
   std::uint32_t overshoot_permille = 0;
-  /// And so many requests more.
+  /// Tolerated excess in requests, in addition.
   std::uint32_t slack = 0;
 
   bool operator==(const quota_terms &) const = default;
--- a/src/tenants/quota_account.cpp
+++ b/src/tenants/quota_account.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// An account is kept this long after its last permit: a gateway whose
-/// configuration is older must not bring earlier terms back meanwhile.
-constexpr quota_time kept_when_idle_ms = 60000;
+/// Retention of an idle account, so that a gateway with an outdated
+/// configuration cannot restore earlier terms.
+constexpr quota_time idle_retention_ms = 60000;
 constexpr std::uint64_t thousandths = 1000;
 
 std::uint64_t milliseconds(duration_ms span) {
@@ -20,9 +20,9 @@
 
 reservation quota_account::reserve(const reservation_request &request,
                                    quota_time now) {
-  take_terms(request.terms, now);
+  update_terms(request.terms, now);
   settle(request);
-  forget_old(now);
+  prune(now);
   state_.reserved = request.kept;
   const std::uint64_t max_permits_now = max_permits(now);
   const std::uint64_t counted_now = counted(now);
@@ -42,7 +42,7 @@
               granted < request.wanted ? free_after(now) : duration_ms{0}};
 }
 
-void quota_account::take_terms(const quota_terms &terms, quota_time now) {
+void quota_account::update_terms(const quota_terms &terms, quota_time now) {
   if (state_.terms.empty()) {
     state_.terms.push_back({.since = now, .terms = terms});
     return;
@@ -74,17 +74,17 @@
 }
 
 std::uint64_t quota_account::counted_slices() const {
-  // One more, since a permit may be given at the end of its slice.
+  // One more, since a permit may be issued at the end of its slice.
   const quota_time counts =
       milliseconds(state_.terms.back().terms.window + permit_lifetime);
   return (counts + quota_slice_ms - 1) / quota_slice_ms + 1;
 }
 
-void quota_account::forget_old(quota_time now) {
+void quota_account::prune(quota_time now) {
   const std::uint64_t oldest =
       slice_of(now) - std::min(slice_of(now), counted_slices());
   state_.given.erase(state_.given.begin(), state_.given.lower_bound(oldest));
-  // Of the terms, those count that were in force within the window.
+  // Keeps only terms that were in force within the window.
   const quota_time window = milliseconds(state_.terms.back().terms.window);
   while (state_.terms.size() > 1 && state_.terms[1].since + window <= now) {
     state_.terms.erase(state_.terms.begin());
@@ -100,7 +100,7 @@
   const quota_time begins = now - std::min(now, window);
   std::uint64_t burst = last.burst_millirequests;
   std::uint64_t until = now;
-  // In millionths of a request: a rate in thousandths, times milliseconds.
+  // In millionths of a request: a rate in thousandths times milliseconds.
   std::uint64_t granted = 0;
   std::uint64_t covered = 0;
   for (std::size_t left = state_.terms.size(); left > 0; --left) {
@@ -115,7 +115,7 @@
     }
     burst = std::max(burst, each.terms.burst_millirequests);
   }
-  // Before the first terms that are known nothing else was in force.
+  // The first known terms also apply to the time before them.
   granted += state_.terms.front().terms.millirequests_per_second *
              (window - std::min(window, covered));
   return (granted / thousandths + burst) / thousandths;
@@ -169,7 +169,7 @@
       state_.given.empty()
           ? 0
           : (state_.given.rbegin()->first + 1) * quota_slice_ms;
-  return now > std::max(last, state_.reserved_until) + kept_when_idle_ms;
+  return now > std::max(last, state_.reserved_until) + idle_retention_ms;
 }
 
 } // namespace heathtrestle::tenants
--- a/src/tenants/recent_programs.hpp
+++ b/src/tenants/recent_programs.hpp
@@ -1,8 +1,8 @@
-// Remembers which programs a gateway has let in lately, to tell a program's
-// first request from later ones. Bounded: two generations, of which the older
-// one is dropped whole. A program that is forgotten, or that comes from another
-// gateway, counts as new; it is then refused a little sooner while its tenant
-// is over its limit, and never otherwise.
+// Remembers which programs a gateway has recently admitted, to tell a program's
+// first request from later ones. Bounded: keeps two generations and drops the
+// older one whole. A program that was dropped, or that was admitted by another
+// gateway, counts as new; the only effect is that it is rejected slightly
+// earlier while its tenant is over its limit.
 #pragma once
 
 #include "base/ids.hpp"
@@ -16,7 +16,8 @@
 
 class recent_programs {
 public:
-  /// @param generation programs after which the older half is forgotten.
+  /// @param generation number of programs after which the older half is
+  /// dropped.
   explicit recent_programs(std::size_t generation = 4096)
       : generation_(generation) {}
 
--- a/src/tenants/sliding_window_counter.hpp
+++ b/src/tenants/sliding_window_counter.hpp
@@ -1,5 +1,5 @@
-// Counts what happened within a sliding window, in slices of it. The sum covers
-// the window and up to one slice more, so it never counts too little.
+// Counts events within a sliding window, divided into slices. The sum covers
+// the window and up to one slice more, so it never undercounts.
 #pragma once
 
 #include "base/time.hpp"
@@ -11,16 +11,16 @@
 
 class sliding_window_counter {
 public:
-  /// Slices of a window: how finely it slides.
+  /// Number of slices per window.
   static constexpr std::int64_t slices = 20;
 
-  /// @param window at least one millisecond a slice.
+  /// @param window at least one millisecond per slice.
   explicit sliding_window_counter(duration_ms window)
       : slice_(window / slices) {}
 
   void add(timestamp now, std::uint32_t count = 1) {
     advance(now);
-    counts_[place_of(current_)] += count;
+    counts_[index_of(current_)] += count;
     sum_ += count;
   }
 
@@ -29,15 +29,15 @@
     return sum_;
   }
 
-  /// Time that the sum covers at the most.
+  /// Maximum time that the sum covers.
   [[nodiscard]] duration_ms span() const { return slice_ * (slices + 1); }
 
-  /// When the oldest counts leave the window; `now` when there are none.
+  /// When the oldest counts leave the window; `now` if there are none.
   [[nodiscard]] timestamp next_release(timestamp now) {
     advance(now);
     for (std::int64_t number = current_ - slices; number <= current_;
          ++number) {
-      if (counts_[place_of(number)] > 0) {
+      if (counts_[index_of(number)] > 0) {
         return timestamp{slice_ * (number + slices + 1)};
       }
     }
@@ -45,7 +45,7 @@
   }
 
 private:
-  static std::size_t place_of(std::int64_t number) {
+  static std::size_t index_of(std::int64_t number) {
     constexpr std::int64_t places = slices + 1;
     return static_cast<std::size_t>((number % places + places) % places);
   }
@@ -59,13 +59,13 @@
     }
     while (current_ < number) {
       ++current_;
-      sum_ -= counts_[place_of(current_)];
-      counts_[place_of(current_)] = 0;
+      sum_ -= counts_[index_of(current_)];
+      counts_[index_of(current_)] = 0;
     }
   }
 
   duration_ms slice_;
-  std::int64_t current_ = 0; // number of the present slice
+  std::int64_t current_ = 0; // number of the current slice
   std::array<std::uint32_t, slices + 1> counts_{};
   std::uint32_t sum_ = 0;
 };
--- a/src/tenants/tenant.hpp
+++ b/src/tenants/tenant.hpp
@@ -1,5 +1,5 @@
-// A tenant as the operator's configuration describes it: the keys by which its
-// requests are known, and how much it may ask for.
+// A tenant as configured by the operator: its API keys, quota, priority and
+// home regions.
 #pragma once
 
 #include "base/ids.hpp"
@@ -11,14 +11,14 @@
 
 namespace heathtrestle::tenants {
 
-/// A secret by which a client proves which tenant it belongs to. It has no
-/// formatter on purpose: a key must not end up in a log.
+/// A secret that identifies the tenant of a client. It deliberately has no
+/// formatter, so that keys cannot be logged.
 using api_key = typed_id<std::string, struct api_key_tag>;
 
-/// How much a tenant may ask of all gateways together.
+/// Request quota of a tenant over all gateways.
 struct request_quota {
   double rate_per_second = 0; // zero: unlimited
-  double burst = 0;           // requests beyond the rate, at once
+  double burst = 0;           // requests beyond the rate
 
   [[nodiscard]] bool limited() const { return rate_per_second > 0; }
   bool operator==(const request_quota &) const = default;
@@ -28,9 +28,9 @@
   tenant_id id;
   std::vector<api_key> keys;
   request_quota quota;
-  /// Goes before the priority of the route when it is set; 0 is most urgent.
+  /// Overrides the priority of the route if set; 0 is most urgent.
   std::optional<std::uint32_t> priority;
-  /// Regions in which its requests may be served and kept; empty: any.
+  /// Regions in which its requests may be served and stored; empty for any.
   std::vector<std::string> home_regions;
 
   bool operator==(const tenant &) const = default;
--- a/src/tenants/token_bucket.hpp
+++ b/src/tenants/token_bucket.hpp
@@ -1,4 +1,5 @@
-// Lets events through at a rate that may change from one to the next.
+// Token bucket whose rate may change with each call. It holds at most the
+// tokens of one second, and always room for one.
 #pragma once
 
 #include "base/time.hpp"
@@ -10,14 +11,15 @@
 
 class token_bucket {
 public:
-  /// @param credit events that may pass at once, from 0 to 1. Where many pace
-  /// their parts of one rate, different credits keep them from passing
-  /// together.
+  /// @param credit initial tokens, 0 to 1. Buckets that share one rate should
+  /// start with different credits, so that they do not admit in step.
   explicit token_bucket(double credit) : credit_(credit) {}
 
-  /// @return false when the event comes too early; it is not counted then.
+  /// Takes a token if one is available.
+  /// @param per_second rate at which tokens refill since the previous call.
+  /// @return false, taking nothing, if there is less than one token.
   bool try_take(double per_second, timestamp now) {
-    accrue(per_second, now);
+    refill(per_second, now);
     if (credit_ < 1) {
       return false;
     }
@@ -25,32 +27,33 @@
     return true;
   }
 
-  /// When the next event may pass.
+  /// When a token will be available at this rate, at most 60 seconds after
+  /// `now`.
   [[nodiscard]] timestamp next_token_at(double per_second,
                                         timestamp now) const {
-    constexpr double longest_s = 60;
-    const double seconds = per_second > 0
-                               ? std::min((1 - credit_) / per_second, longest_s)
-                               : longest_s;
+    constexpr double max_wait_s = 60;
+    const double seconds =
+        per_second > 0 ? std::min((1 - credit_) / per_second, max_wait_s)
+                       : max_wait_s;
     return now + std::chrono::duration_cast<duration_ms>(
                      std::chrono::duration<double>(std::max(seconds, 0.0)));
   }
 
 private:
-  void accrue(double per_second, timestamp now) {
-    // What was not used for a second is lost: events shall not come in a heap.
-    constexpr double longest_s = 1;
+  void refill(double per_second, timestamp now) {
+    // Caps the bucket at the tokens of one second to avoid bursts.
+    constexpr double capacity_s = 1;
     const double seconds =
-        accrued_ == timestamp{}
+        refilled_at_ == timestamp{}
             ? 0
-            : std::chrono::duration<double>(now - accrued_).count();
-    accrued_ = now;
+            : std::chrono::duration<double>(now - refilled_at_).count();
+    refilled_at_ = now;
     credit_ = std::min(credit_ + seconds * per_second,
-                       std::max(1.0, longest_s * per_second));
+                       std::max(1.0, capacity_s * per_second));
   }
 
   double credit_;
-  timestamp accrued_{};
+  timestamp refilled_at_{};
 };
 
 } // namespace heathtrestle::tenants
--- a/tests/tenants/quota_limit_property_test.cpp
+++ b/tests/tenants/quota_limit_property_test.cpp
@@ -1,7 +1,6 @@
-// A tenant's limit under anything that can happen on the way: any number of
-// gateways, late and lost messages, gateways that are cut off or start anew,
-// leaders that are replaced and go on giving what they have, and quotas that
-// are changed meanwhile.
+// Guards against exceeding a tenant's quota under random faults: delayed and
+// lost messages, gateways that are cut off or restart, leaders that are
+// replaced and go on issuing permits, and quota changes.
 #include "support/quota_fleet.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,14 +25,14 @@
 
 class quota_limit_property_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(quota_limit_property_test);
-  CPPUNIT_TEST(no_disorder_lets_more_through);
-  CPPUNIT_TEST(a_lower_limit_binds_after_one_window);
-  CPPUNIT_TEST(restarts_of_all_gateways_forget_nothing);
-  CPPUNIT_TEST(whoever_keeps_to_the_limit_is_never_refused);
+  CPPUNIT_TEST(faults_never_exceed_the_limit);
+  CPPUNIT_TEST(a_reduced_limit_applies_after_one_window);
+  CPPUNIT_TEST(restarts_of_all_gateways_keep_the_count);
+  CPPUNIT_TEST(requests_within_the_limit_are_never_rejected);
   CPPUNIT_TEST(the_limit_can_be_used);
   CPPUNIT_TEST_SUITE_END();
 
-  static constexpr std::size_t most_gateways = 340;
+  static constexpr std::size_t max_gateways = 340;
 
   static request_quota draw_quota(std::mt19937_64 &random) {
     return {.rate_per_second = 1 + static_cast<double>(random() % 40),
@@ -52,8 +51,8 @@
             .misled = static_cast<double>(random() % 50) / hundredths};
   }
 
-  /// Something that happens between two stretches of load.
-  static void disturb(quota_fleet &fleet, std::mt19937_64 &random) {
+  /// Injects a random fault, or changes or ends one.
+  static void inject_fault(quota_fleet &fleet, std::mt19937_64 &random) {
     switch (random() % 5) {
     case 0:
       fleet.change_leader();
@@ -76,17 +75,17 @@
   }
 
 public:
-  void no_disorder_lets_more_through() {
+  void faults_never_exceed_the_limit() {
     for (unsigned seed = 1; seed <= 60; ++seed) {
       std::mt19937_64 random(seed);
       const request_quota quota = draw_quota(random);
-      quota_fleet fleet(1 + random() % most_gateways, quota, seed,
+      quota_fleet fleet(1 + random() % max_gateways, quota, seed,
                         draw_troubles(random));
       for (int stretch = 0; stretch < 20; ++stretch) {
         const double times = static_cast<double>(random() % 8);
         fleet.run(duration_ms{static_cast<std::int64_t>(random() % 2000)},
                   quota.rate_per_second * times);
-        disturb(fleet, random);
+        inject_fault(fleet, random);
       }
       CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}: {} sent, {} allowed", seed,
                                          fleet.most_in_window(),
@@ -95,16 +94,16 @@
     }
   }
 
-  void a_lower_limit_binds_after_one_window() {
+  void a_reduced_limit_applies_after_one_window() {
     for (unsigned seed = 1; seed <= 30; ++seed) {
       std::mt19937_64 random(seed);
       const request_quota before{.rate_per_second = 60, .burst = 60};
       const request_quota after{.rate_per_second = 10, .burst = 5};
-      quota_fleet fleet(1 + random() % most_gateways, before, seed,
+      quota_fleet fleet(1 + random() % max_gateways, before, seed,
                         draw_troubles(random));
       for (int stretch = 0; stretch < 6; ++stretch) {
         fleet.run(duration_ms{1500}, 200);
-        disturb(fleet, random);
+        inject_fault(fleet, random);
       }
       fleet.change_quota(after);
       fleet.set_troubles({});
@@ -113,19 +112,19 @@
         fleet.tell_configuration(gateway);
         fleet.run(duration_ms{5}, 200);
       }
-      // The partition hears of it with the next question.
-      const timestamp binds =
+      // The partition learns the new terms with the next request.
+      const timestamp applies_from =
           fleet.now() + duration_ms{100} + quota_fleet::window;
       fleet.run(duration_ms{15000}, 200);
       CPPUNIT_ASSERT(fleet.most_in_window() <= allowed(before));
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}: {} sent, {} allowed", seed,
-                                         fleet.most_in_window(binds),
-                                         allowed(after)),
-                             fleet.most_in_window(binds) <= allowed(after));
+      CPPUNIT_ASSERT_MESSAGE(
+          fmt::format("seed {}: {} sent, {} allowed", seed,
+                      fleet.most_in_window(applies_from), allowed(after)),
+          fleet.most_in_window(applies_from) <= allowed(after));
     }
   }
 
-  void restarts_of_all_gateways_forget_nothing() {
+  void restarts_of_all_gateways_keep_the_count() {
     const request_quota quota{.rate_per_second = 20, .burst = 10};
     quota_fleet fleet(57, quota, 5);
     for (int times = 0; times < 20; ++times) {
@@ -138,8 +137,8 @@
     CPPUNIT_ASSERT(fleet.most_in_window() <= allowed(quota));
   }
 
-  /// Requests that come at the rate, from many gateways or few.
-  void whoever_keeps_to_the_limit_is_never_refused() {
+  /// Requests that arrive exactly at the rate, through one or many gateways.
+  void requests_within_the_limit_are_never_rejected() {
     for (const double rate : {1.0, 6.0, 20.0, 160.0, 1000.0}) {
       for (const double burst : {0.0, 10.0, 200.0}) {
         for (const std::size_t gateways : {1, 57, 300}) {
@@ -156,7 +155,7 @@
     }
   }
 
-  /// Asked for far more than the limit, most of it is served.
+  /// Under demand far above the limit, nearly all of the limit is used.
   void the_limit_can_be_used() {
     constexpr double usable = 0.95;
     for (const double rate : {6.0, 20.0, 160.0, 1000.0}) {
--- a/tests/tenants/quota_limit_test.cpp
+++ b/tests/tenants/quota_limit_test.cpp
@@ -1,13 +1,7 @@
-// A tenant got more than its quota, with nothing broken: its requests came to
-// many gateways at once after a quiet time. Each gateway let through the part
-// of the limit that its part of the demand was, as far as it had heard of the
-// demand; what had been let through while less of it was known was never taken
-// back, and a gateway that saw one or two requests rounded its part up. So the
-// excess grew with the number of gateways: of 57 allowed in 5 s, 86 were let
-// through at 57 gateways and 113 at 300, asked for four times the limit.
-// Gateways that heard of nobody let through what they liked (258 of 141 where
-// nobody was told anything for 3 s). On a deployment of 300 gateways 77
-// requests of a tenant ran in 5 s where 73 are allowed.
+// Guards against admitting more than a tenant's quota when its requests arrive
+// at many gateways at once after an idle time, with an excess that grows with
+// the number of gateways, and against gateways without reports admitting
+// without a limit.
 #include "support/quota_fleet.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,7 +13,7 @@
 
 using test_support::quota_fleet;
 
-/// What the operator grants at the very most in one window of 5 s.
+/// Maximum number of requests in one window of 5 s, including the tolerance.
 std::size_t allowed(const request_quota &quota) {
   constexpr double seconds = 5;
   constexpr double overshoot = 1.1;
@@ -34,10 +28,10 @@
 
 class quota_limit_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(quota_limit_test);
-  CPPUNIT_TEST(a_tenant_that_turns_hot_stays_within_its_limit);
+  CPPUNIT_TEST(a_sudden_load_stays_within_the_limit);
   CPPUNIT_TEST(gateways_that_are_cut_off_stay_within_the_limit);
-  CPPUNIT_TEST(while_nobody_is_told_anything_the_limit_holds);
-  CPPUNIT_TEST(an_idle_tenant_that_comes_back_stays_within_its_limit);
+  CPPUNIT_TEST(the_limit_holds_while_all_gateways_are_cut_off);
+  CPPUNIT_TEST(a_returning_idle_tenant_stays_within_its_limit);
   CPPUNIT_TEST_SUITE_END();
 
   static void check(const quota_fleet &fleet, const request_quota &quota,
@@ -49,7 +43,7 @@
   }
 
 public:
-  void a_tenant_that_turns_hot_stays_within_its_limit() {
+  void a_sudden_load_stays_within_the_limit() {
     for (const request_quota &quota : {small, middle, large}) {
       for (const std::size_t gateways : {12, 57, 300}) {
         for (const double times : {1.2, 2.0, 4.0, 10.0}) {
@@ -73,7 +67,7 @@
     }
   }
 
-  void while_nobody_is_told_anything_the_limit_holds() {
+  void the_limit_holds_while_all_gateways_are_cut_off() {
     for (const std::size_t gateways : {12, 57, 300}) {
       quota_fleet fleet(gateways, middle, 3);
       fleet.cut_off(gateways);
@@ -84,7 +78,7 @@
     }
   }
 
-  void an_idle_tenant_that_comes_back_stays_within_its_limit() {
+  void a_returning_idle_tenant_stays_within_its_limit() {
     quota_fleet fleet(57, small, 4);
     for (int times = 0; times < 4; ++times) {
       fleet.run(duration_ms{5500}, 60);
