--- a/src/records/group_plan.cpp
+++ b/src/records/membership_plan.cpp
@@ -1,4 +1,4 @@
-#include "records/group_plan.hpp"
+#include "records/membership_plan.hpp"
 
 #include <algorithm>
 #include <map>
@@ -197,15 +197,15 @@
 
 } // namespace
 
-group_size group_size::bearing(std::size_t losses, std::size_t partitions) {
+group_size group_size::tolerating(std::size_t losses, std::size_t partitions) {
   const std::size_t borne = std::max<std::size_t>(losses, 1);
   return {.voters = 2 * borne + 1, .spares = partitions > 1 ? 0 : borne + 1};
 }
 
-std::optional<group_change> next_change(const std::vector<node_view> &nodes,
-                                        const std::vector<replica_id> &learners,
-                                        const group_size &size,
-                                        bool recruit_spares) {
+std::optional<membership_change>
+next_membership_change(const std::vector<node_view> &nodes,
+                       const std::vector<replica_id> &learners,
+                       const group_size &size, bool recruit_spares) {
   for (const node_view &each : nodes) {
     if (!each.votes || !each.dead) {
       continue;
@@ -235,16 +235,17 @@
   if (removed == nullptr) {
     const node_view *released = surplus_learner(nodes, learners, size);
     return released == nullptr ? std::nullopt
-                               : std::optional<group_change>(
+                               : std::optional<membership_change>(
                                      release_learner{released->replica});
   }
   if (removed->is_self) {
-    return hand_over{};
+    return resign_leadership{};
   }
   return remove_voter{removed->replica};
 }
 
-bool bears_losses(const std::vector<node_view> &nodes, const group_size &size) {
+bool tolerates_losses(const std::vector<node_view> &nodes,
+                      const group_size &size) {
   if (count_holders(nodes) >= size.voters) {
     return true;
   }
--- a/src/records/group_plan.hpp
+++ b/src/records/membership_plan.hpp
@@ -55,10 +55,11 @@
   replica_id replica;
 };
 /// The leader itself is to leave: another one has to remove it.
-struct hand_over {};
+struct resign_leadership {};
 
-using group_change = std::variant<add_learner, add_voter, remove_voter,
-                                  replace_voter, release_learner, hand_over>;
+using membership_change =
+    std::variant<add_learner, add_voter, remove_voter, replace_voter,
+                 release_learner, resign_leadership>;
 
 struct group_size {
   /// How many voters the group has while nodes last.
@@ -72,12 +73,13 @@
   /// @param partitions of the record group; where there are several, none has
   /// spares: their nodes are small, and each follower costs a fifth of what
   /// recording does. A voter that is lost is replaced by a copy made then.
-  static group_size bearing(std::size_t losses, std::size_t partitions = 1);
+  static group_size tolerating(std::size_t losses, std::size_t partitions = 1);
 };
 
 /// True when the group bears the losses that it is made for: its full number of
 /// voters, or one on every node that there is, is in touch and holds the log.
-bool bears_losses(const std::vector<node_view> &nodes, const group_size &size);
+bool tolerates_losses(const std::vector<node_view> &nodes,
+                      const group_size &size);
 
 /// Voters and spares are spread over the zones, as far as there are nodes.
 /// @param learners nodes that already receive the log without a vote.
@@ -90,9 +92,9 @@
 /// the group has voters: an operator who empties machines must not use up the
 /// losses that the group is to bear. Where no node can take its place it leaves
 /// all the same, as long as all that remain are in touch.
-std::optional<group_change> next_change(const std::vector<node_view> &nodes,
-                                        const std::vector<replica_id> &learners,
-                                        const group_size &size,
-                                        bool recruit_spares = true);
+std::optional<membership_change>
+next_membership_change(const std::vector<node_view> &nodes,
+                       const std::vector<replica_id> &learners,
+                       const group_size &size, bool recruit_spares = true);
 
 } // namespace heathtrestle::records
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -715,7 +715,7 @@
   }
   const bool recruits = now >= leading_since_ + options_.recruit_after;
   const auto change =
-      next_change(view(now), learners_, options_.size, recruits);
+      next_membership_change(view(now), learners_, options_.size, recruits);
   const bool begins_copy =
       change && std::holds_alternative<add_learner>(*change);
   if (change && !(begins_copy && may_yield_first(now))) {
@@ -852,7 +852,7 @@
   return known == members_.end() ? started_ : known->second.heard;
 }
 
-void record_node::carry_out(const group_change &change, timestamp now,
+void record_node::carry_out(const membership_change &change, timestamp now,
                             raft::outbox &out) {
   std::vector<replica_id> voters = log_->voters();
   if (const auto *learner = std::get_if<add_learner>(&change)) {
@@ -870,7 +870,7 @@
          fmt::format("learner {}", surplus->replica));
     return;
   }
-  if (std::holds_alternative<hand_over>(change)) {
+  if (std::holds_alternative<resign_leadership>(change)) {
     std::set<replica_id> eligible;
     for (const node_view &each : view(now)) {
       if (each.votes && each.alive && !each.retiring && !each.is_self) {
@@ -907,7 +907,7 @@
   }
   const bool knows_nodes = now >= leading_since_ + options_.recruit_after;
   const bool whole = log_->established() && knows_nodes &&
-                     bears_losses(view(now), options_.size);
+                     tolerates_losses(view(now), options_.size);
   if (!whole) {
     return names;
   }
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -11,8 +11,8 @@
 #include "base/time.hpp"
 #include "logging/event_catalogue.hpp"
 #include "raft/consensus.hpp"
-#include "records/group_plan.hpp"
 #include "records/load_board.hpp"
+#include "records/membership_plan.hpp"
 #include "records/permit_desk.hpp"
 #include "records/quota_clock.hpp"
 #include "records/record_table.hpp"
@@ -219,7 +219,8 @@
   void answer_probe(const wire::RecordRequest &request);
   void say_hello(timestamp now);
   void maintain(timestamp now, raft::outbox &out);
-  void carry_out(const group_change &change, timestamp now, raft::outbox &out);
+  void carry_out(const membership_change &change, timestamp now,
+                 raft::outbox &out);
   /// Whether a learner may take a voter's place.
   [[nodiscard]] bool may_vote(const replica_id &learner) const;
   [[nodiscard]] std::vector<node_view> view(timestamp now) const;
--- a/src/records/store_process.cpp
+++ b/src/records/store_process.cpp
@@ -142,7 +142,7 @@
   self.set_zone(places.value().zone());
   self.set_region(places.value().region());
   const record_node_options options{
-      .size = group_size::bearing(settings.tolerated_losses, partitions)};
+      .size = group_size::tolerating(settings.tolerated_losses, partitions)};
   record_runtime runtime(io, self, std::move(disks).value(), options);
   const auto started = runtime.start(settings.rpc_address);
   if (!started) {
--- a/tests/records/group_placement_test.cpp
+++ b/tests/records/group_placement_test.cpp
@@ -2,7 +2,7 @@
 // which voters are left when a zone or a region goes. Groups are founded at
 // each partition's first node and grow, one change after the other, until
 // nothing is to be changed.
-#include "records/group_plan.hpp"
+#include "records/membership_plan.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -69,8 +69,8 @@
                                                            std::size_t number) {
     std::vector<node_view> nodes = nodes_of(built, number);
     std::vector<replica_id> learners;
-    const group_size size = group_size::bearing(losses, partitions);
-    while (const auto change = next_change(nodes, learners, size)) {
+    const group_size size = group_size::tolerating(losses, partitions);
+    while (const auto change = next_membership_change(nodes, learners, size)) {
       if (const auto *learns = std::get_if<add_learner>(&*change)) {
         learners.push_back(learns->replica);
         find(nodes, learns->replica).caught_up = true;
--- a/tests/records/group_plan_property_test.cpp
+++ b/tests/records/membership_plan_property_test.cpp
@@ -1,7 +1,7 @@
 // Random orders of what can happen to a group while its members are planned: a
 // planned change never takes the voters in touch below what the group promises
 // to bear, and once nothing happens any more every request is carried out.
-#include "records/group_plan.hpp"
+#include "records/membership_plan.hpp"
 
 #include <algorithm>
 #include <random>
@@ -16,7 +16,7 @@
 class random_fleet {
 public:
   random_fleet(std::uint64_t seed, std::size_t losses, std::uint64_t nodes)
-      : random_(seed), size_(group_size::bearing(losses, seed % 2 + 1)) {
+      : random_(seed), size_(group_size::tolerating(losses, seed % 2 + 1)) {
     for (std::uint64_t node = 1; node <= nodes; ++node) {
       add_node(node, 1);
       nodes_.back().votes = node <= size_.voters;
@@ -51,7 +51,8 @@
 
   /// @return false when nothing was to be changed.
   bool change_once(const std::string &message, bool recruits) {
-    const auto change = next_change(nodes_, learners_, size_, recruits);
+    const auto change =
+        next_membership_change(nodes_, learners_, size_, recruits);
     if (!change) {
       return false;
     }
@@ -186,7 +187,8 @@
     check_leaving(at(change.replica), message, recruits);
     at(change.replica).votes = false;
   }
-  void apply(const hand_over &, const std::string &message, bool recruits) {
+  void apply(const resign_leadership &, const std::string &message,
+             bool recruits) {
     node_view &self = *std::ranges::find(nodes_, true, &node_view::is_self);
     check_leaving(self, message, recruits);
     const auto next = std::ranges::find_if(nodes_, [](const node_view &each) {
@@ -205,8 +207,8 @@
   std::uint64_t newest_ = 0;
 };
 
-class group_plan_property_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(group_plan_property_test);
+class membership_plan_property_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(membership_plan_property_test);
   CPPUNIT_TEST(planned_changes_keep_what_is_promised);
   CPPUNIT_TEST_SUITE_END();
 
@@ -225,7 +227,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(group_plan_property_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(membership_plan_property_test);
 
 } // namespace
 } // namespace heathtrestle::records
--- a/tests/records/group_plan_test.cpp
+++ b/tests/records/membership_plan_test.cpp
@@ -1,4 +1,4 @@
-#include "records/group_plan.hpp"
+#include "records/membership_plan.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -17,8 +17,8 @@
   return {.replica = id(node, identity), .alive = true, .caught_up = true};
 }
 
-class group_plan_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(group_plan_test);
+class membership_plan_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(membership_plan_test);
   CPPUNIT_TEST(a_settled_group_stays_as_it_is);
   CPPUNIT_TEST(a_new_node_first_learns);
   CPPUNIT_TEST(a_learner_that_caught_up_votes_while_voters_are_wanted);
@@ -53,8 +53,8 @@
 
   bool recruits_ = true;
 
-  std::optional<group_change> next() {
-    return next_change(nodes_, learners_, size_, recruits_);
+  std::optional<membership_change> next() {
+    return next_membership_change(nodes_, learners_, size_, recruits_);
   }
 
 public:
@@ -185,7 +185,7 @@
     nodes_.push_back(voter(4));
     CPPUNIT_ASSERT(std::get<remove_voter>(*next()).replica == id(2));
     nodes_[1] = voter(5);
-    CPPUNIT_ASSERT(std::holds_alternative<hand_over>(*next()));
+    CPPUNIT_ASSERT(std::holds_alternative<resign_leadership>(*next()));
   }
 
   void a_new_leader_does_not_shrink_the_group() {
@@ -212,14 +212,14 @@
 
   void a_leader_that_is_to_leave_hands_over() {
     nodes_[0].retiring = true;
-    CPPUNIT_ASSERT(std::holds_alternative<hand_over>(*next()));
+    CPPUNIT_ASSERT(std::holds_alternative<resign_leadership>(*next()));
   }
 
   void the_size_follows_the_losses_to_be_borne() {
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::bearing(0).voters);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::bearing(1).voters);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group_size::bearing(2).voters);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::bearing(2).spares);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::tolerating(0).voters);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::tolerating(1).voters);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group_size::tolerating(2).voters);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::tolerating(2).spares);
   }
 
   void no_more_nodes_learn_than_are_wanted() {
@@ -287,7 +287,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(group_plan_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(membership_plan_test);
 
 } // namespace
 } // namespace heathtrestle::records
--- a/tests/records/record_group_test.cpp
+++ b/tests/records/record_group_test.cpp
@@ -300,7 +300,7 @@
 
   void a_group_keeps_its_voters_while_machines_are_emptied() {
     for (std::uint64_t seed = 80; seed < 84; ++seed) {
-      record_group group(seed, group_size::bearing(2, 4), 0, 4);
+      record_group group(seed, group_size::tolerating(2, 4), 0, 4);
       found_five(group);
       // The leader too, and another one meanwhile.
       const std::string lead = group.leader();
@@ -320,7 +320,7 @@
 
   void two_disks_are_lost_as_soon_as_a_machine_is_emptied() {
     for (std::uint64_t seed = 90; seed < 94; ++seed) {
-      record_group group(seed, group_size::bearing(2, 4), 0, 4);
+      record_group group(seed, group_size::tolerating(2, 4), 0, 4);
       found_five(group);
       const std::set<std::string> before = group.voters();
       const std::string retired = *std::next(before.begin());
@@ -462,7 +462,7 @@
 
 private:
   void a_group_that_bears_two_losses_has_five_voters() {
-    record_group group(5, records::group_size::bearing(2));
+    record_group group(5, records::group_size::tolerating(2));
     found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group.voters().size());
     const auto *log = group.at(group.leader()).log();
@@ -478,7 +478,7 @@
   void of_five_voters_two_lose_their_disks_at_once() {
     const std::vector<std::string> all{"a", "b", "c", "d", "e"};
     for (std::size_t first = 0; first + 1 < all.size(); ++first) {
-      record_group group(6 + first, records::group_size::bearing(2));
+      record_group group(6 + first, records::group_size::tolerating(2));
       found_with(group, all);
       keep(group, "t", 10, 500ms);
       for (const std::string &name : all) {
@@ -498,14 +498,15 @@
   void random_pairs_of_losses_lose_nothing() {
     for (std::uint64_t seed = 500; seed < 530; ++seed) {
       run_random(seed, {"a", "b", "c", "d", "e", "f"},
-                 records::group_size::bearing(2), 2);
+                 records::group_size::tolerating(2), 2);
     }
   }
 
   void partitions_are_led_by_different_nodes() {
     std::map<std::string, int> leads;
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
-      record_group group(9, records::group_size::bearing(2, 4), partition, 4);
+      record_group group(9, records::group_size::tolerating(2, 4), partition,
+                         4);
       found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
       group.run(8000ms);
       ++leads[group.leader()];
@@ -574,7 +575,7 @@
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
       std::string led_by[2];
       for (const bool busy : {false, true}) {
-        record_group group(42, records::group_size::bearing(2, 4), partition,
+        record_group group(42, records::group_size::tolerating(2, 4), partition,
                            4);
         for (const char *name : {"a", "b", "c", "d", "e", "f", "g", "h"}) {
           group.add(name);
@@ -596,7 +597,7 @@
 
   void every_node_names_the_leader() {
     // A gateway of a large fleet asks any node first; most have no part.
-    record_group group(7, records::group_size::bearing(2, 4), 0, 4);
+    record_group group(7, records::group_size::tolerating(2, 4), 0, 4);
     std::vector<std::string> names;
     for (char name = 'a'; name < 'a' + 20; ++name) {
       names.emplace_back(1, name);
@@ -622,7 +623,7 @@
 
   void a_node_without_a_part_keeps_to_the_leader() {
     // Three of eight nodes have no part in this partition.
-    record_group group(44, records::group_size::bearing(2, 4), 0, 4);
+    record_group group(44, records::group_size::tolerating(2, 4), 0, 4);
     found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     const std::size_t before = group.hellos();
@@ -825,7 +826,7 @@
   }
 
   void a_voter_that_is_back_soon_is_not_replaced() {
-    record_group group(43, records::group_size::bearing(2, 4), 0, 4);
+    record_group group(43, records::group_size::tolerating(2, 4), 0, 4);
     group.options().replace_after = 3000ms;
     group.options().alive_for = 1200ms;
     found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -97,8 +97,8 @@
   void a_copy_of_the_state_is_sent_once() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
       for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        record_group group(seed, group_size::bearing(2, partitions), partition,
-                           partitions);
+        record_group group(seed, group_size::tolerating(2, partitions),
+                           partition, partitions);
         fill(group);
         const std::string lost = wipe_leader(group);
         const std::size_t before = group.logged(logging::event::snapshot_sent);
@@ -119,7 +119,7 @@
   // eight entries of a log that grew by forty a second.
   void a_node_that_lags_behind_a_busy_group_votes() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
-      record_group group(7, group_size::bearing(2, partitions), partition,
+      record_group group(7, group_size::tolerating(2, partitions), partition,
                          partitions);
       fill(group, large_parts);
       refill_under_load(group);
@@ -129,8 +129,8 @@
   void two_more_disks_may_go_while_it_lags() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
       for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        record_group group(seed, group_size::bearing(2, partitions), partition,
-                           partitions);
+        record_group group(seed, group_size::tolerating(2, partitions),
+                           partition, partitions);
         fill(group, large_parts);
         const std::string back = refill_under_load(group);
         group.run(500ms);
@@ -167,7 +167,7 @@
 
   void the_preferred_voter_leads_once_the_node_is_whole() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
-      record_group group(1, group_size::bearing(2, partitions), partition,
+      record_group group(1, group_size::tolerating(2, partitions), partition,
                          partitions);
       fill(group);
       const std::string preferred = group.leader();
