--- a/src/records/membership_plan.cpp
+++ b/src/records/membership_plan.cpp
@@ -47,7 +47,7 @@
   return best;
 }
 
-bool may_serve(const node_view &each) {
+bool is_available(const node_view &each) {
   return each.alive && !each.retiring && !each.dead;
 }
 
@@ -62,13 +62,13 @@
   return each.votes && each.alive && !each.dead && !each.lagging;
 }
 
-std::size_t count_holders(const std::vector<node_view> &nodes) {
+std::size_t count_log_holders(const std::vector<node_view> &nodes) {
   return static_cast<std::size_t>(
       std::count_if(nodes.begin(), nodes.end(), holds_log));
 }
 
 /// A voter that is there, or may be back before it is worth replacing.
-bool is_sound_voter(const node_view &each) {
+bool is_healthy_voter(const node_view &each) {
   return each.votes && !each.long_silent && !each.retiring && !each.dead;
 }
 
@@ -76,8 +76,9 @@
 const node_view *surplus_learner(const std::vector<node_view> &nodes,
                                  const std::vector<replica_id> &learners,
                                  const group_size &size) {
-  const auto sound = std::count_if(nodes.begin(), nodes.end(), is_sound_voter);
-  const bool needed = static_cast<std::size_t>(sound) < size.voters ||
+  const auto healthy =
+      std::count_if(nodes.begin(), nodes.end(), is_healthy_voter);
+  const bool needed = static_cast<std::size_t>(healthy) < size.voters ||
                       learners.size() <= size.spares;
   if (needed) {
     return nullptr;
@@ -94,7 +95,8 @@
                               const std::vector<replica_id> &learners,
                               const group_size &size, bool recruit_spares) {
   const auto lacks_log = [&learners](const node_view &each) {
-    return !each.votes && !contains(learners, each.replica) && may_serve(each);
+    return !each.votes && !contains(learners, each.replica) &&
+           is_available(each);
   };
   for (const node_view &each : nodes) {
     if (each.votes && each.dead) {
@@ -108,8 +110,8 @@
     return nullptr;
   }
   const auto follows = [&learners](const node_view &each) {
-    const bool learns = may_serve(each) && contains(learners, each.replica);
-    return learns || is_sound_voter(each);
+    const bool learns = is_available(each) && contains(learners, each.replica);
+    return learns || is_healthy_voter(each);
   };
   const auto following = std::count_if(nodes.begin(), nodes.end(), follows);
   const bool enough =
@@ -124,21 +126,22 @@
 
 /// A voter that gives way to a spare node. A dead one whose node is back waits
 /// for that instead.
-const node_view *first_leaving(const std::vector<node_view> &nodes) {
+const node_view *first_voter_to_replace(const std::vector<node_view> &nodes) {
   const auto found =
       std::find_if(nodes.begin(), nodes.end(), [&nodes](const auto &each) {
-        const bool comes_back =
+        const bool has_successor =
             each.dead && successor_of(each, nodes) != nullptr;
-        const bool has_to =
-            each.retiring || ((each.long_silent || each.dead) && !comes_back);
-        return each.votes && has_to;
+        const bool must_leave =
+            each.retiring ||
+            ((each.long_silent || each.dead) && !has_successor);
+        return each.votes && must_leave;
       });
   return found == nodes.end() ? nullptr : &*found;
 }
 
 /// A node that may yet take a voter's place. One that is silent for a moment is
 /// not gone: only a silence as long as that of a voter that is replaced counts.
-bool may_take_place(const node_view &each) {
+bool may_become_voter(const node_view &each) {
   return !each.votes && !each.long_silent && !each.retiring && !each.dead;
 }
 
@@ -166,8 +169,9 @@
 
 /// The voter to take out now: a surplus or lost one, or a retiring one that
 /// nobody can succeed while all others hold the log.
-const node_view *next_leaving(const std::vector<node_view> &nodes,
-                              const group_size &size, bool recruit_spares) {
+const node_view *next_voter_to_remove(const std::vector<node_view> &nodes,
+                                      const group_size &size,
+                                      bool recruit_spares) {
   const std::size_t voters = count_voters(nodes);
   if (voters <= 1) {
     return nullptr;
@@ -176,7 +180,7 @@
     const node_view *least = least_needed(nodes, [](const node_view &each) {
       return !each.is_self || each.retiring;
     });
-    const bool enough = count_holders(nodes) > size.voters;
+    const bool enough = count_log_holders(nodes) > size.voters;
     return least != nullptr && holds_log(*least) && !enough ? nullptr : least;
   }
   const node_view *leaving =
@@ -187,19 +191,20 @@
   if (!recruit_spares) {
     return nullptr;
   }
-  const bool goes =
+  const bool may_leave =
       std::ranges::all_of(nodes, [leaving](const node_view &each) {
         const bool stays_in_touch = !each.votes || holds_log(each);
-        return &each == leaving || (stays_in_touch && !may_take_place(each));
+        return &each == leaving || (stays_in_touch && !may_become_voter(each));
       });
-  return goes ? leaving : nullptr;
+  return may_leave ? leaving : nullptr;
 }
 
 } // namespace
 
 group_size group_size::tolerating(std::size_t losses, std::size_t partitions) {
-  const std::size_t borne = std::max<std::size_t>(losses, 1);
-  return {.voters = 2 * borne + 1, .spares = partitions > 1 ? 0 : borne + 1};
+  const std::size_t tolerated = std::max<std::size_t>(losses, 1);
+  return {.voters = 2 * tolerated + 1,
+          .spares = partitions > 1 ? 0 : tolerated + 1};
 }
 
 std::optional<membership_change>
@@ -226,12 +231,12 @@
       first_in_emptiest_zone(nodes, is_ready_spare, [](const node_view &each) {
         return each.votes && !each.dead;
       });
-  const node_view *leaving = first_leaving(nodes);
+  const node_view *leaving = first_voter_to_replace(nodes);
   const bool wanted = voters < size.voters || leaving != nullptr;
   if (spare != nullptr && wanted && voters <= size.voters) {
     return add_voter{spare->replica};
   }
-  const node_view *removed = next_leaving(nodes, size, recruit_spares);
+  const node_view *removed = next_voter_to_remove(nodes, size, recruit_spares);
   if (removed == nullptr) {
     const node_view *released = surplus_learner(nodes, learners, size);
     return released == nullptr ? std::nullopt
@@ -246,11 +251,11 @@
 
 bool tolerates_losses(const std::vector<node_view> &nodes,
                       const group_size &size) {
-  if (count_holders(nodes) >= size.voters) {
+  if (count_log_holders(nodes) >= size.voters) {
     return true;
   }
   return std::ranges::none_of(nodes, [](const node_view &each) {
-    return may_take_place(each) || (each.votes && !holds_log(each));
+    return may_become_voter(each) || (each.votes && !holds_log(each));
   });
 }
 
