--- a/src/records/group_directory.cpp
+++ b/src/records/group_directory.cpp
@@ -102,7 +102,7 @@
   duration_ms pause = first_pause;
   asio::steady_timer timer(io_);
   while (true) {
-    const bool in_touch = runtime_.in_touch();
+    const bool in_touch = runtime_.knows_leader();
     if (!published) {
       published = co_await publish();
     }
@@ -178,7 +178,7 @@
   const auto created = co_await store_.create(
       std::string(group_kind), std::string(group_name), document);
   if (created) {
-    runtime_.found();
+    runtime_.bootstrap();
     co_return;
   }
   // The object may be this node's own, made by a call whose answer was lost.
@@ -191,7 +191,7 @@
   const bool own = fields != nullptr && text_of(*fields, "founder") == self;
   search_.founded_elsewhere = !own;
   if (own && !runtime_.has_group()) {
-    runtime_.found();
+    runtime_.bootstrap();
   }
 }
 
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -68,7 +68,7 @@
   members_[self_id_] = {.record = self_, .heard = now};
 }
 
-void record_node::found(timestamp now, std::uint64_t random) {
+void record_node::bootstrap(timestamp now, std::uint64_t random) {
   raft::saved_replica first;
   first.hard = {.term = log_->term().value(), .voted_for = std::nullopt};
   first.base.voters = {self_id_};
@@ -291,7 +291,7 @@
     }
     if (auto known = table_.settled(item.change())) {
       taken_up_.erase(question_hash(request.reply_to(), item.id()));
-      ++question_counts_.settled;
+      ++request_counts_.settled;
       known->set_id(item.id());
       *settled.add_items() = std::move(*known);
       continue;
@@ -318,7 +318,7 @@
 
 bool record_node::take_up(const std::string &reply_to, std::uint64_t id) {
   const bool fresh = taken_up_.insert(question_hash(reply_to, id)).second;
-  ++(fresh ? question_counts_.taken : question_counts_.repeated);
+  ++(fresh ? request_counts_.taken : request_counts_.repeated);
   return fresh;
 }
 
@@ -430,7 +430,7 @@
     pass_on_proposals(now);
     return;
   }
-  const bool joins = now < proposed_ + options_.join_interval;
+  const bool joins = now < proposed_ + options_.batch_interval;
   if (proposals_.empty() || joins || !successors_.empty()) {
     return;
   }
@@ -542,11 +542,11 @@
   proposals_.clear();
 }
 
-std::optional<timestamp> record_node::joined_due() const {
+std::optional<timestamp> record_node::batch_due() const {
   const bool waits =
       proposals_.empty() || !log_->is_leader() || !successors_.empty();
   return waits ? std::nullopt
-               : std::optional(proposed_ + options_.join_interval);
+               : std::optional(proposed_ + options_.batch_interval);
 }
 
 void record_node::answer(std::uint64_t index,
@@ -630,7 +630,7 @@
   }
 }
 
-bool record_node::in_touch(timestamp now) const {
+bool record_node::knows_leader(timestamp now) const {
   return log_->is_leader() || log_->leader().has_value() || told_lately(now);
 }
 
@@ -677,7 +677,8 @@
          .preference = preferred.at(id.node),
          .votes = log_->is_voter(id),
          .is_self = is_self,
-         .alive = is_self || (!unheard && now < heard + options_.alive_for),
+         .alive =
+             is_self || (!unheard && now < heard + options_.liveness_timeout),
          .long_silent = !is_self && now >= since + options_.replace_after,
          .dead = log_->is_dead(id),
          .caught_up = log_->is_learner(id) && may_vote(id),
@@ -761,7 +762,7 @@
   // Begun before, the copy of the state would be begun anew by the next leader.
   // And a node that came to lead three partitions would copy all three: that
   // took it 14 s and more, where each takes 4 to 6 s from a leader of its own.
-  const timestamp settled = leading_since_ + options_.yield_after +
+  const timestamp settled = leading_since_ + options_.transfer_delay +
                             hand_over_limit + options_.raft.heartbeat_interval;
   return options_.partitions > 1 && !log_->was_handed_the_lead() &&
          now < settled && preferred_voter(now) != self_id_;
@@ -769,14 +770,14 @@
 
 void record_node::yield_lead(timestamp now) {
   const duration_ms kept = log_->was_handed_the_lead()
-                               ? options_.keep_handed_lead
-                               : options_.yield_after;
+                               ? options_.keep_received_leadership
+                               : options_.transfer_delay;
   const bool due = options_.partitions > 1 && log_->established() &&
                    now >= leading_since_ + kept && now >= next_yield_;
   if (!due || fills_a_node(now)) {
     return;
   }
-  next_yield_ = now + options_.yield_after;
+  next_yield_ = now + options_.transfer_delay;
   const std::optional<replica_id> preferred = preferred_voter(now);
   if (preferred && *preferred != self_id_) {
     begin_hand_over({*preferred}, now);
@@ -900,7 +901,7 @@
   }
 }
 
-std::set<std::string> record_node::emptied(timestamp now) const {
+std::set<std::string> record_node::removable_nodes(timestamp now) const {
   std::set<std::string> names;
   if (!log_->is_leader() || log_->change_in_progress()) {
     return names;
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -57,14 +57,14 @@
   std::uint32_t partitions = 1;
   /// Questions that come within this long of the last entry are joined into the
   /// next one; zero proposes at once.
-  duration_ms join_interval{0};
+  duration_ms batch_interval{0};
   /// A leader leaves the lead to the preferred voter after this long.
-  duration_ms yield_after{2000};
+  duration_ms transfer_delay{2000};
   /// One that was handed the lead keeps it for this long: nodes that know other
   /// members prefer other leaders, and would hand it to and fro.
-  duration_ms keep_handed_lead{20000};
+  duration_ms keep_received_leadership{20000};
   /// A node not heard from for this long is not counted as alive.
-  duration_ms alive_for{800};
+  duration_ms liveness_timeout{800};
   /// A voter silent for this long gives way to a spare node.
   duration_ms replace_after{1500};
   duration_ms hello_interval{300};
@@ -108,7 +108,7 @@
 };
 
 /// Questions that a leader was asked.
-struct question_counts {
+struct request_counts {
   std::uint64_t taken = 0;
   /// Copies of questions that are being answered already.
   std::uint64_t repeated = 0;
@@ -125,7 +125,7 @@
 
   /// Makes this node the group's first voter. Only for the one process that
   /// the object store has named as founder.
-  void found(timestamp now, std::uint64_t random);
+  void bootstrap(timestamp now, std::uint64_t random);
   [[nodiscard]] bool has_group() const {
     return log_.has_value() && !log_->voters().empty();
   }
@@ -149,20 +149,20 @@
   /// True when committed entries wait to be applied by another step.
   [[nodiscard]] bool has_more_to_apply() const { return log_->has_committed(); }
   /// Questions since the last call.
-  question_counts take_question_counts() {
-    return std::exchange(question_counts_, {});
+  request_counts take_request_counts() {
+    return std::exchange(request_counts_, {});
   }
   /// When questions that wait to be joined are to be proposed by a step.
-  [[nodiscard]] std::optional<timestamp> joined_due() const;
+  [[nodiscard]] std::optional<timestamp> batch_due() const;
 
   /// Retiring nodes without which the group bears all that it promises to bear;
   /// known to its leader alone.
-  [[nodiscard]] std::set<std::string> emptied(timestamp now) const;
+  [[nodiscard]] std::set<std::string> removable_nodes(timestamp now) const;
   [[nodiscard]] bool is_leader() const {
     return log_.has_value() && log_->is_leader();
   }
   /// True while this node leads, follows, or has been told lately who leads.
-  [[nodiscard]] bool in_touch(timestamp now) const;
+  [[nodiscard]] bool knows_leader(timestamp now) const;
   [[nodiscard]] const record_table &table() const { return table_; }
   [[nodiscard]] const raft::consensus *log() const {
     return log_ ? &*log_ : nullptr;
@@ -289,7 +289,7 @@
   std::map<std::uint64_t, std::vector<asker>> askers_; // by log index
   /// Hashes of the questions in the two above.
   std::unordered_set<std::uint64_t> taken_up_;
-  question_counts question_counts_;
+  request_counts request_counts_;
   std::vector<addressed_message> outgoing_;
   std::vector<logged_event> events_;
   std::optional<wire::RecordSnapshot> installed_;
--- a/src/records/record_runtime.cpp
+++ b/src/records/record_runtime.cpp
@@ -34,14 +34,14 @@
 record_node_options for_small_nodes(record_node_options options) {
   // A turn waits up to this long twice; the messages between the nodes and the
   // writes are far fewer.
-  options.join_interval = duration_ms{25};
+  options.batch_interval = duration_ms{25};
   // Whoever follows anew is sent the whole state, which costs more than waiting
   // for the nodes that are coming back.
   options.recruit_after = duration_ms{2000};
   options.replace_after = duration_ms{3000};
   // A node that is busy is not gone.
   options.raft.election_timeout = duration_ms{500};
-  options.alive_for = duration_ms{1200};
+  options.liveness_timeout = duration_ms{1200};
   return options;
 }
 
@@ -131,10 +131,10 @@
   return partitions_.front().node->self();
 }
 
-bool record_runtime::in_touch() const {
+bool record_runtime::knows_leader() const {
   return std::all_of(partitions_.begin(), partitions_.end(),
                      [now = steady_now()](const partition &each) {
-                       return each.node->in_touch(now);
+                       return each.node->knows_leader(now);
                      });
 }
 
@@ -150,9 +150,9 @@
       [](const partition &each) { return each.node->has_group(); });
 }
 
-void record_runtime::found() {
+void record_runtime::bootstrap() {
   for (std::size_t number = 0; number < partitions_.size(); ++number) {
-    partitions_[number].node->found(steady_now(), random_());
+    partitions_[number].node->bootstrap(steady_now(), random_());
     step(number);
   }
 }
@@ -169,18 +169,19 @@
   }
 }
 
-bool record_runtime::reports() const {
+bool record_runtime::is_retirement_reporter() const {
   return partitions_.front().node->is_leader();
 }
 
-std::set<std::string> record_runtime::emptied() const {
+std::set<std::string> record_runtime::removable_nodes() const {
   std::map<std::string, std::size_t> empty_in;
   for (const partition &each : partitions_) {
     const bool leads = each.node->is_leader();
     const bool fresh = steady_now() < each.told_at + told_for;
-    const std::set<std::string> names = leads ? each.node->emptied(steady_now())
-                                        : fresh ? each.told_emptied
-                                                : std::set<std::string>();
+    const std::set<std::string> names =
+        leads   ? each.node->removable_nodes(steady_now())
+        : fresh ? each.told_emptied
+                : std::set<std::string>();
     for (const std::string &name : names) {
       ++empty_in[name];
     }
@@ -225,7 +226,7 @@
 
 void record_runtime::arm_joined(std::size_t number) {
   partition &waiting = partitions_[number];
-  const std::optional<timestamp> due = waiting.node->joined_due();
+  const std::optional<timestamp> due = waiting.node->batch_due();
   if (!due || waiting.joined_armed) {
     return;
   }
@@ -276,7 +277,7 @@
 
 void record_runtime::report_load() {
   for (const partition &each : partitions_) {
-    const question_counts counts = each.node->take_question_counts();
+    const request_counts counts = each.node->take_request_counts();
     load_.on_questions(counts.taken, counts.repeated, counts.settled);
   }
   if (const auto sums = load_.take_report(steady_now())) {
@@ -288,7 +289,7 @@
   // The first partition's leader reports for all; the others tell it.
   for (std::size_t number = 1; number < partitions_.size(); ++number) {
     const record_node &node = *partitions_[number].node;
-    const std::set<std::string> names = node.emptied(steady_now());
+    const std::set<std::string> names = node.removable_nodes(steady_now());
     if (names.empty()) {
       continue;
     }
--- a/src/records/record_runtime.hpp
+++ b/src/records/record_runtime.hpp
@@ -48,13 +48,13 @@
 
   [[nodiscard]] const wire::RecordMember &self() const;
   /// True when it is known of each partition who leads it.
-  [[nodiscard]] bool in_touch() const;
+  [[nodiscard]] bool knows_leader() const;
   /// True while this node leads some partition.
   [[nodiscard]] bool leads_any() const;
   /// True when this node has a part in the group, of any partition.
   [[nodiscard]] bool has_group() const;
   /// Makes this node the founder of every partition.
-  void found();
+  void bootstrap();
   /// Storage nodes that the object store or a peer knows of.
   void learn_members(const wire::RecordMembers &members);
 
@@ -71,10 +71,10 @@
   void set_retiring(const std::set<std::string> &names);
   /// True when this node is the one that reports on emptied machines: the first
   /// partition's leader.
-  [[nodiscard]] bool reports() const;
+  [[nodiscard]] bool is_retirement_reporter() const;
   /// Machines that hold nothing which the others lack, in any partition. What
   /// other leaders told counts for a second.
-  [[nodiscard]] std::set<std::string> emptied() const;
+  [[nodiscard]] std::set<std::string> removable_nodes() const;
 
   /// Counters and gauges in the Prometheus text format.
   [[nodiscard]] std::string metrics() const;
--- a/src/records/retirement_watch.cpp
+++ b/src/records/retirement_watch.cpp
@@ -69,10 +69,10 @@
   while (true) {
     timer.expires_after(check_interval);
     co_await timer.async_wait(as_result);
-    if (!runtime_.reports()) {
+    if (!runtime_.is_retirement_reporter()) {
       continue;
     }
-    reports_.on_emptied(runtime_.emptied());
+    reports_.on_emptied(runtime_.removable_nodes());
     for (retirement_report &due : reports_.take_due(steady_now())) {
       co_await report_one(std::move(due));
     }
--- a/tests/records/record_group_test.cpp
+++ b/tests/records/record_group_test.cpp
@@ -92,7 +92,7 @@
     for (const std::string &name : names) {
       group.add(name);
     }
-    group.found(names.front());
+    group.bootstrap(names.front());
     group.run(4000ms);
   }
 
@@ -243,8 +243,9 @@
     const std::string retired = lead == "c" ? "b" : "c";
     group.retire(retired);
     group.run(1000ms);
-    CPPUNIT_ASSERT(
-        group.at(group.leader()).emptied(group.now()).contains(retired));
+    CPPUNIT_ASSERT(group.at(group.leader())
+                       .removable_nodes(group.now())
+                       .contains(retired));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, group.voters().size());
     group.wipe(retired);
     const std::string other = group.leader() == "a" ? "b" : "a";
@@ -265,8 +266,9 @@
     group.run(3000ms);
     CPPUNIT_ASSERT(group.leader() != retired);
     CPPUNIT_ASSERT(!group.voters().contains(retired));
-    CPPUNIT_ASSERT(
-        group.at(group.leader()).emptied(group.now()).contains(retired));
+    CPPUNIT_ASSERT(group.at(group.leader())
+                       .removable_nodes(group.now())
+                       .contains(retired));
     group.kill(retired);
     check_kept(group, "t", 10);
   }
@@ -291,7 +293,7 @@
         continue;
       }
       CPPUNIT_ASSERT(group.voters().size() >= five_voters);
-      if (group.at(lead).emptied(group.now()).contains(name)) {
+      if (group.at(lead).removable_nodes(group.now()).contains(name)) {
         return;
       }
     }
@@ -520,7 +522,7 @@
     std::uint64_t entries[2] = {};
     for (const bool joined : {false, true}) {
       record_group group(10);
-      group.options().join_interval = joined ? 1000ms : 0ms;
+      group.options().batch_interval = joined ? 1000ms : 0ms;
       found_with(group, {"a", "b", "c"});
       const auto before = group.at(group.leader()).log()->last_index();
       for (int turn = 0; turn < 6; ++turn) {
@@ -581,7 +583,7 @@
           group.add(name);
           group.slow_down(name, 30ms);
         }
-        group.found("a");
+        group.bootstrap("a");
         for (int wave = 0; wave < 800; ++wave) {
           if (busy) {
             group.ask_at_once(wave);
@@ -631,7 +633,7 @@
     CPPUNIT_ASSERT(group.hellos() > before);
     CPPUNIT_ASSERT(group.hellos() - before <= 3 * 6);
     for (const std::string &name : group.names()) {
-      CPPUNIT_ASSERT(group.at(name).in_touch(group.now()));
+      CPPUNIT_ASSERT(group.at(name).knows_leader(group.now()));
     }
     // It is found all the same when a voter is lost for good.
     const std::string lead = group.leader();
@@ -828,7 +830,7 @@
   void a_voter_that_is_back_soon_is_not_replaced() {
     record_group group(43, records::group_size::tolerating(2, 4), 0, 4);
     group.options().replace_after = 3000ms;
-    group.options().alive_for = 1200ms;
+    group.options().liveness_timeout = 1200ms;
     found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     const std::set<std::string> voters = group.voters();
@@ -1003,7 +1005,7 @@
   /// a reservation that its desk knew nothing of.
   void what_was_wanted_in_an_earlier_term_is_not_reserved() {
     record_group group(44);
-    group.options().join_interval = 3000ms;
+    group.options().batch_interval = 3000ms;
     found_with(group, {"a"});
     group.keep_turn("t");
     group.run(100ms); // whatever comes now is joined with later questions
--- a/tests/records/record_memory_test.cpp
+++ b/tests/records/record_memory_test.cpp
@@ -74,7 +74,7 @@
         io_, self, std::move(disks).value(), record_node_options{});
     CPPUNIT_ASSERT(runtime_->start(address_));
     if (is_first) {
-      runtime_->found();
+      runtime_->bootstrap();
     }
     run_until([this] { return runtime_->leads_any(); });
   }
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -52,7 +52,7 @@
     for (const char *name : {"a", "b", "c", "d", "e", "f", "g", "h"}) {
       group.add(name);
     }
-    group.found("a");
+    group.bootstrap("a");
     group.run(8000ms);
     for (int turn = 0; turn < 100; ++turn) {
       group.keep_turn(fmt::format("t{}", turn));
--- a/tests/records/snapshot_transfer_test.cpp
+++ b/tests/records/snapshot_transfer_test.cpp
@@ -235,7 +235,7 @@
     for (const char *name : {"a", "b", "c"}) {
       group.add(name);
     }
-    group.found("a");
+    group.bootstrap("a");
     group.run(4000ms);
     for (int wave = 0; wave < 100; ++wave) {
       group.keep_turn(fmt::format("fill-{}", wave), input_bytes);
--- a/tests/support/record_group.hpp
+++ b/tests/support/record_group.hpp
@@ -69,8 +69,8 @@
     machines_[name].disk.identity = boot_id{random_()};
     start(name);
   }
-  void found(const std::string &name) {
-    machines_.at(name).node->found(now_, random_());
+  void bootstrap(const std::string &name) {
+    machines_.at(name).node->bootstrap(now_, random_());
   }
   void kill(const std::string &name) { machines_.at(name).node.reset(); }
   /// The machine comes back with an empty disk.
