--- a/src/records/node_load.cpp
+++ b/src/records/node_load.cpp
@@ -16,7 +16,7 @@
 constexpr std::array<std::string_view, message_kinds> kind_names{
     "request", "append_request", "append_reply",   "heartbeat",
     "vote",    "snapshot",       "follow_objects", "other"};
-constexpr std::array<std::string_view, work_parts> part_names{
+constexpr std::array<std::string_view, step_phases> phase_names{
     "reduce_us",      "write_us", "apply_us",
     "read_bodies_us", "send_us",  "compact_us"};
 
@@ -26,8 +26,8 @@
   return kind_names[static_cast<std::size_t>(kind)];
 }
 
-std::string_view name_of(work_part part) {
-  return part_names[static_cast<std::size_t>(part)];
+std::string_view name_of(step_phase phase) {
+  return phase_names[static_cast<std::size_t>(phase)];
 }
 
 message_kind kind_of(const wire::Envelope &envelope) {
@@ -55,46 +55,47 @@
 }
 
 void node_load::on_queue(std::size_t count, timestamp oldest, timestamp now) {
-  sums_.longest_queue = std::max(sums_.longest_queue, count);
-  sums_.longest_wait = std::max(sums_.longest_wait, now - oldest);
+  totals_.longest_queue = std::max(totals_.longest_queue, count);
+  totals_.longest_wait = std::max(totals_.longest_wait, now - oldest);
 }
 
-void node_load::on_questions(std::uint64_t taken, std::uint64_t repeated,
-                             std::uint64_t settled) {
-  sums_.questions += taken;
-  sums_.repeated_questions += repeated;
-  sums_.settled_questions += settled;
+void node_load::on_requests(std::uint64_t taken, std::uint64_t repeated,
+                            std::uint64_t settled) {
+  totals_.requests += taken;
+  totals_.repeated_requests += repeated;
+  totals_.settled_requests += settled;
 }
 
 void node_load::on_history(std::size_t turns, std::size_t bytes) {
-  sums_.history_turns += turns;
-  sums_.history_bytes += bytes;
+  totals_.history_turns += turns;
+  totals_.history_bytes += bytes;
 }
 
-std::optional<load_sums> node_load::take_report(timestamp now) {
+std::optional<load_totals> node_load::take_report(timestamp now) {
   if (now < next_report_) {
     return std::nullopt;
   }
   next_report_ = now + report_interval;
-  load_sums sums = std::exchange(sums_, {});
-  return sums.questions + sums.repeated_questions > 0 ? std::optional(sums)
-                                                      : std::nullopt;
+  load_totals totals = std::exchange(totals_, {});
+  return totals.requests + totals.repeated_requests > 0 ? std::optional(totals)
+                                                        : std::nullopt;
 }
 
-void log_load(const load_sums &sums) {
+void log_load(const load_totals &totals) {
   logging::line line(logging::event::record_node_load);
   for (std::size_t kind = 0; kind < message_kinds; ++kind) {
-    line.field(name_of(static_cast<message_kind>(kind)), sums.messages[kind]);
+    line.field(name_of(static_cast<message_kind>(kind)), totals.messages[kind]);
   }
-  line.field("questions", sums.questions)
-      .field("repeated", sums.repeated_questions)
-      .field("settled", sums.settled_questions)
-      .field("history_turns", sums.history_turns)
-      .field("history_bytes", sums.history_bytes)
-      .field("longest_queue", sums.longest_queue)
-      .field("longest_wait_ms", sums.longest_wait.count());
-  for (std::size_t part = 0; part < work_parts; ++part) {
-    line.field(name_of(static_cast<work_part>(part)), sums.spent[part].count());
+  line.field("questions", totals.requests)
+      .field("repeated", totals.repeated_requests)
+      .field("settled", totals.settled_requests)
+      .field("history_turns", totals.history_turns)
+      .field("history_bytes", totals.history_bytes)
+      .field("longest_queue", totals.longest_queue)
+      .field("longest_wait_ms", totals.longest_wait.count());
+  for (std::size_t phase = 0; phase < step_phases; ++phase) {
+    line.field(name_of(static_cast<step_phase>(phase)),
+               totals.spent[phase].count());
   }
   line.write();
 }
--- a/src/records/node_load.hpp
+++ b/src/records/node_load.hpp
@@ -30,7 +30,7 @@
 constexpr std::size_t message_kinds = 8;
 
 /// Parts of a step.
-enum class work_part : std::uint8_t {
+enum class step_phase : std::uint8_t {
   /// Messages are reduced.
   reduce,
   /// The disk takes what is to last.
@@ -44,22 +44,22 @@
   /// A snapshot is written.
   compact,
 };
-constexpr std::size_t work_parts = 6;
+constexpr std::size_t step_phases = 6;
 
 std::string_view name_of(message_kind kind);
-std::string_view name_of(work_part part);
+std::string_view name_of(step_phase phase);
 message_kind kind_of(const wire::Envelope &envelope);
 
 /// Sums since some moment.
-struct load_sums {
+struct load_totals {
   std::array<std::uint64_t, message_kinds> messages{};
-  std::array<std::chrono::microseconds, work_parts> spent{};
+  std::array<std::chrono::microseconds, step_phases> spent{};
   /// Questions that were taken up, and copies of questions that were being
   /// answered already.
-  std::uint64_t questions = 0;
-  std::uint64_t repeated_questions = 0;
+  std::uint64_t requests = 0;
+  std::uint64_t repeated_requests = 0;
   /// Questions that were answered without an entry of the log.
-  std::uint64_t settled_questions = 0;
+  std::uint64_t settled_requests = 0;
   /// Turns with their bodies that went out in answers, and the bytes of their
   /// bodies.
   std::uint64_t history_turns = 0;
@@ -68,51 +68,52 @@
   std::size_t longest_queue = 0;
   duration_ms longest_wait{0};
 
-  bool operator==(const load_sums &) const = default;
+  bool operator==(const load_totals &) const = default;
 };
 
 class node_load {
 public:
   void on_message(const wire::Envelope &envelope) {
-    ++sums_.messages[static_cast<std::size_t>(kind_of(envelope))];
+    ++totals_.messages[static_cast<std::size_t>(kind_of(envelope))];
   }
   /// @param count messages that are taken from the queue now.
   /// @param oldest when the first of them arrived.
   void on_queue(std::size_t count, timestamp oldest, timestamp now);
-  void on_questions(std::uint64_t taken, std::uint64_t repeated,
-                    std::uint64_t settled);
+  void on_requests(std::uint64_t taken, std::uint64_t repeated,
+                   std::uint64_t settled);
   void on_history(std::size_t turns, std::size_t bytes);
-  void on_spent(work_part part, std::chrono::microseconds time) {
-    sums_.spent[static_cast<std::size_t>(part)] += time;
+  void on_spent(step_phase phase, std::chrono::microseconds time) {
+    totals_.spent[static_cast<std::size_t>(phase)] += time;
   }
 
   /// What came together since the last report, once a report is due; nothing of
   /// a node that was idle meanwhile.
-  std::optional<load_sums> take_report(timestamp now);
+  std::optional<load_totals> take_report(timestamp now);
 
 private:
-  load_sums sums_;
+  load_totals totals_;
   timestamp next_report_{};
 };
 
 /// Writes the report's line to the log.
-void log_load(const load_sums &sums);
+void log_load(const load_totals &totals);
 
 /// Adds the time that it lives to a part of the work.
-class work_timer {
+class phase_timer {
 public:
-  work_timer(node_load &load, work_part part)
-      : load_(load), part_(part), begun_(std::chrono::steady_clock::now()) {}
-  ~work_timer() {
-    load_.on_spent(part_, std::chrono::duration_cast<std::chrono::microseconds>(
-                              std::chrono::steady_clock::now() - begun_));
+  phase_timer(node_load &load, step_phase phase)
+      : load_(load), phase_(phase), begun_(std::chrono::steady_clock::now()) {}
+  ~phase_timer() {
+    load_.on_spent(phase_,
+                   std::chrono::duration_cast<std::chrono::microseconds>(
+                       std::chrono::steady_clock::now() - begun_));
   }
-  work_timer(const work_timer &) = delete;
-  work_timer &operator=(const work_timer &) = delete;
+  phase_timer(const phase_timer &) = delete;
+  phase_timer &operator=(const phase_timer &) = delete;
 
 private:
   node_load &load_;
-  work_part part_;
+  step_phase phase_;
   std::chrono::steady_clock::time_point begun_;
 };
 
--- a/src/records/record_runtime.cpp
+++ b/src/records/record_runtime.cpp
@@ -278,10 +278,10 @@
 void record_runtime::report_load() {
   for (const partition &each : partitions_) {
     const request_counts counts = each.node->take_request_counts();
-    load_.on_questions(counts.taken, counts.repeated, counts.settled);
+    load_.on_requests(counts.taken, counts.repeated, counts.settled);
   }
-  if (const auto sums = load_.take_report(steady_now())) {
-    log_load(*sums);
+  if (const auto totals = load_.take_report(steady_now())) {
+    log_load(*totals);
   }
 }
 
@@ -334,12 +334,12 @@
 }
 
 record_effects record_runtime::reduce(partition &stepped) {
-  const work_timer timer(load_, work_part::reduce);
+  const phase_timer timer(load_, step_phase::reduce);
   return stepped.node->step(steady_now(), wall_ms(), random_());
 }
 
 record_effects record_runtime::apply(partition &stepped) {
-  const work_timer timer(load_, work_part::apply);
+  const phase_timer timer(load_, step_phase::apply);
   record_effects effects = stepped.node->after_write(steady_now());
   exit_unless_done(stepped.disk->keep(std::move(effects.kept)));
   return effects;
@@ -347,7 +347,7 @@
 
 void record_runtime::fill_in(std::size_t number,
                              std::vector<addressed_message> &messages) {
-  const work_timer timer(load_, work_part::read_bodies);
+  const phase_timer timer(load_, step_phase::read_bodies);
   for (addressed_message &message : messages) {
     const std::size_t missing =
         records::fill_in(message.envelope, *partitions_[number].disk);
@@ -383,7 +383,7 @@
 }
 
 void record_runtime::write(partition &written, record_effects &effects) {
-  const work_timer timer(load_, work_part::write);
+  const phase_timer timer(load_, step_phase::write);
   const auto begun = std::chrono::steady_clock::now();
   result<void> done = written.disk->keep(std::move(effects.kept));
   if (done && !effects.write.empty()) {
@@ -401,7 +401,7 @@
 }
 
 void record_runtime::compact(partition &compacted) {
-  const work_timer timer(load_, work_part::compact);
+  const phase_timer timer(load_, step_phase::compact);
   const raft::consensus &log = *compacted.node->log();
   exit_unless_done(compacted.disk->compact(log.base(), log.applied_index(),
                                            compacted.node->table().snapshot()));
@@ -409,7 +409,7 @@
 
 void record_runtime::send(std::size_t number,
                           std::vector<addressed_message> &messages) {
-  const work_timer timer(load_, work_part::send);
+  const phase_timer timer(load_, step_phase::send);
   for (addressed_message &message : messages) {
     message.envelope.set_record_partition(static_cast<std::uint32_t>(number));
     transport_->send(std::move(message.address), message.envelope);
--- a/tests/records/node_load_test.cpp
+++ b/tests/records/node_load_test.cpp
@@ -23,30 +23,30 @@
     load_.take_report(start);
     load_.on_queue(3, start, start + 40ms);
     load_.on_queue(2, start, start + 90ms);
-    load_.on_questions(5, 2, 3);
+    load_.on_requests(5, 2, 3);
     load_.on_history(4, 1000);
-    load_.on_spent(work_part::write, 7us);
-    load_.on_spent(work_part::write, 3us);
+    load_.on_spent(step_phase::write, 7us);
+    load_.on_spent(step_phase::write, 3us);
     CPPUNIT_ASSERT(!load_.take_report(start + 999ms));
-    const auto sums = load_.take_report(start + 1000ms);
-    CPPUNIT_ASSERT(sums);
-    load_sums expected;
+    const auto totals = load_.take_report(start + 1000ms);
+    CPPUNIT_ASSERT(totals);
+    load_totals expected;
     expected.longest_queue = 3;
     expected.longest_wait = 90ms;
-    expected.questions = 5;
-    expected.repeated_questions = 2;
-    expected.settled_questions = 3;
+    expected.requests = 5;
+    expected.repeated_requests = 2;
+    expected.settled_requests = 3;
     expected.history_turns = 4;
     expected.history_bytes = 1000;
-    expected.spent[static_cast<std::size_t>(work_part::write)] = 10us;
-    CPPUNIT_ASSERT(*sums == expected);
-    load_.on_questions(1, 0, 0);
+    expected.spent[static_cast<std::size_t>(step_phase::write)] = 10us;
+    CPPUNIT_ASSERT(*totals == expected);
+    load_.on_requests(1, 0, 0);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                         load_.take_report(start + 2000ms)->questions);
+                         load_.take_report(start + 2000ms)->requests);
   }
 
   void a_node_that_nobody_asks_reports_nothing() {
-    load_.on_spent(work_part::reduce, 5us);
+    load_.on_spent(step_phase::reduce, 5us);
     CPPUNIT_ASSERT(!load_.take_report(start));
   }
 
