--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -369,7 +369,7 @@
   const bool held = part.last_index() <= log_->commit_index().value();
   if (!superseded && !held) {
     // Straight to the disk: the whole state may be more than the memory holds.
-    take_bodies(*part.mutable_records(), arrived_turns_);
+    extract_bodies(*part.mutable_records(), arrived_turns_);
   }
   const bool complete = !superseded && !held && receiver_.receive(part);
   if (superseded || held || complete) {
--- a/src/records/record_runtime.cpp
+++ b/src/records/record_runtime.cpp
@@ -315,7 +315,7 @@
   send(number, first.early);
   write(stepped, first);
   record_effects second = apply(stepped);
-  fill_in(number, second.messages);
+  fill_turn_bodies(number, second.messages);
   send(number, second.messages);
   stepped.disk->drop(second.dropped);
   for (const logged_event &each : second.log) {
@@ -345,12 +345,12 @@
   return effects;
 }
 
-void record_runtime::fill_in(std::size_t number,
-                             std::vector<addressed_message> &messages) {
+void record_runtime::fill_turn_bodies(
+    std::size_t number, std::vector<addressed_message> &messages) {
   const phase_timer timer(load_, step_phase::read_bodies);
   for (addressed_message &message : messages) {
     const std::size_t missing =
-        records::fill_in(message.envelope, *partitions_[number].disk);
+        records::fill_turn_bodies(message.envelope, *partitions_[number].disk);
     if (missing > 0) {
       logging::line(logging::event::record_turns_missing)
           .field("partition", number)
--- a/src/records/record_runtime.hpp
+++ b/src/records/record_runtime.hpp
@@ -103,7 +103,8 @@
   void send(std::size_t number, std::vector<addressed_message> &messages);
   void write(partition &written, record_effects &effects);
   /// Completes the turns that messages name.
-  void fill_in(std::size_t number, std::vector<addressed_message> &messages);
+  void fill_turn_bodies(std::size_t number,
+                        std::vector<addressed_message> &messages);
   /// Notes the turns with their bodies that an answer brings.
   void count_history(const wire::Envelope &envelope);
   void compact(partition &compacted);
--- a/src/records/record_table.cpp
+++ b/src/records/record_table.cpp
@@ -322,7 +322,7 @@
 }
 
 void record_table::restore(wire::RecordSnapshot snapshot) {
-  take_bodies(snapshot, kept_);
+  extract_bodies(snapshot, kept_);
   now_ms_ = snapshot.time_ms();
   next_sweep_ms_ = now_ms_;
   quota_time_ = snapshot.quota_time_ms();
--- a/src/records/turn_bodies.cpp
+++ b/src/records/turn_bodies.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// @return how many turns were missing.
-std::size_t fill_in(wire::RecordReplyItem &item, turn_bodies &bodies) {
+std::size_t fill_turn_bodies(wire::RecordReplyItem &item, turn_bodies &bodies) {
   std::size_t missing = 0;
   for (wire::RecordTurn &turn : *item.mutable_history()) {
     std::optional<wire::RecordTurn> whole = bodies.read(turn.id());
@@ -25,7 +25,7 @@
   return missing;
 }
 
-void fill_in(wire::RecordSnapshot &part, turn_bodies &bodies) {
+void fill_turn_bodies(wire::RecordSnapshot &part, turn_bodies &bodies) {
   for (wire::RecordKeptTurn &kept : *part.mutable_turns()) {
     std::optional<wire::RecordTurn> whole = bodies.read(kept.turn().id());
     if (whole) {
@@ -37,22 +37,23 @@
 
 } // namespace
 
-std::size_t fill_in(wire::Envelope &message, turn_bodies &bodies) {
+std::size_t fill_turn_bodies(wire::Envelope &message, turn_bodies &bodies) {
   std::size_t missing = 0;
   if (message.has_record_reply()) {
     for (wire::RecordReplyItem &item :
          *message.mutable_record_reply()->mutable_items()) {
-      missing += fill_in(item, bodies);
+      missing += fill_turn_bodies(item, bodies);
     }
   }
   if (message.has_snapshot_request()) {
-    fill_in(*message.mutable_snapshot_request()->mutable_records(), bodies);
+    fill_turn_bodies(*message.mutable_snapshot_request()->mutable_records(),
+                     bodies);
   }
   return missing;
 }
 
-void take_bodies(wire::RecordSnapshot &snapshot,
-                 std::vector<wire::RecordTurn> &taken) {
+void extract_bodies(wire::RecordSnapshot &snapshot,
+                    std::vector<wire::RecordTurn> &taken) {
   for (wire::RecordKeptTurn &kept : *snapshot.mutable_turns()) {
     if (kept.bytes() != 0) {
       continue; // came without its body
--- a/src/records/turn_bodies.hpp
+++ b/src/records/turn_bodies.hpp
@@ -32,11 +32,11 @@
 /// entries from before the expiry must decide on the follower as they did
 /// elsewhere.
 /// @return how many turns of histories were missing.
-std::size_t fill_in(wire::Envelope &message, turn_bodies &bodies);
+std::size_t fill_turn_bodies(wire::Envelope &message, turn_bodies &bodies);
 
 /// Moves the whole turns out of a snapshot and leaves their names behind.
-void take_bodies(wire::RecordSnapshot &snapshot,
-                 std::vector<wire::RecordTurn> &taken);
+void extract_bodies(wire::RecordSnapshot &snapshot,
+                    std::vector<wire::RecordTurn> &taken);
 
 /// A turn without its input and output.
 wire::RecordTurn without_body(const wire::RecordTurn &turn);
--- a/tests/records/record_table_test.cpp
+++ b/tests/records/record_table_test.cpp
@@ -82,7 +82,7 @@
     wire::RecordReplyItem &item = *message.mutable_record_reply()->add_items();
     item = table.apply(batch).at(0);
     bodies_.keep(table.take_kept());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fill_in(message, bodies_));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fill_turn_bodies(message, bodies_));
     bodies_.drop(table.take_dropped());
     return item;
   }
@@ -250,7 +250,7 @@
     apply(end("a", 0, "", true));
     wire::Envelope message;
     *message.mutable_snapshot_request()->mutable_records() = table_.snapshot();
-    fill_in(message, bodies_);
+    fill_turn_bodies(message, bodies_);
     record_table restored;
     restored.restore(message.snapshot_request().records());
     const std::vector<wire::RecordTurn> kept = restored.take_kept();
@@ -267,7 +267,7 @@
     *batch.add_changes() = begin("c", 1, 100, "b");
     wire::Envelope message;
     *message.mutable_record_reply()->add_items() = table_.apply(batch).at(0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fill_in(message, bodies_));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fill_turn_bodies(message, bodies_));
     const wire::RecordReplyItem &item = message.record_reply().items(0);
     CPPUNIT_ASSERT_EQUAL(wire::RECORD_UNAVAILABLE, item.verdict());
     CPPUNIT_ASSERT_EQUAL(0, item.history_size());
@@ -279,7 +279,7 @@
     wire::Envelope message;
     *message.mutable_snapshot_request()->mutable_records() = table_.snapshot();
     bodies_.drop({"a"}); // the leader has swept it meanwhile
-    fill_in(message, bodies_);
+    fill_turn_bodies(message, bodies_);
     record_table restored;
     restored.restore(message.snapshot_request().records());
     CPPUNIT_ASSERT(restored.take_kept().empty());
--- a/tests/support/fake_partitions.hpp
+++ b/tests/support/fake_partitions.hpp
@@ -68,7 +68,7 @@
       done.set_id(item.id());
       bodies_[number].keep(tables_[number].take_kept());
     }
-    fill_in(answer, bodies_[number]);
+    fill_turn_bodies(answer, bodies_[number]);
     asio::post(io_, [this, answer] { ledger->on_message(answer); });
   }
 
--- a/tests/support/record_group.hpp
+++ b/tests/support/record_group.hpp
@@ -348,7 +348,8 @@
     auto second = stepped.node->after_write(now_);
     stepped.disk.turns.keep(second.kept);
     for (records::addressed_message &message : second.messages) {
-      missing_turns_ += records::fill_in(message.envelope, stepped.disk.turns);
+      missing_turns_ +=
+          records::fill_turn_bodies(message.envelope, stepped.disk.turns);
     }
     post(name, second.messages);
     stepped.disk.turns.drop(second.dropped);
