--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -409,7 +409,7 @@
     return snapshot_sender::source{.header = log_->snapshot_header(),
                                    .image = table_.image(part_bytes)};
   };
-  std::optional<snapshot_sender::part> due = sender_.next(now, take);
+  std::optional<snapshot_sender::part> due = sender_.next_due(now, take);
   if (!due) {
     return;
   }
@@ -706,7 +706,7 @@
     const bool gone = silent || log_->is_dead(learner);
     if (gone) {
       log_->drop_learner(learner);
-      sender_.drop(learner);
+      sender_.cancel(learner);
     }
     return gone || log_->is_voter(learner);
   });
@@ -866,7 +866,7 @@
   if (const auto *surplus = std::get_if<release_learner>(&change)) {
     std::erase(learners_, surplus->replica);
     log_->drop_learner(surplus->replica);
-    sender_.drop(surplus->replica);
+    sender_.cancel(surplus->replica);
     note(logging::event::record_member_removed,
          fmt::format("learner {}", surplus->replica));
     return;
@@ -947,7 +947,7 @@
     send(address_of(beat.to), std::move(envelope));
   }
   for (const replica_id &follower : out.snapshots_wanted) {
-    sender_.want(follower);
+    sender_.enqueue(follower);
   }
 }
 
--- a/src/records/record_table.cpp
+++ b/src/records/record_table.cpp
@@ -73,7 +73,7 @@
 
 wire::RecordReplyItem record_table::begin(const wire::BeginTurn &wanted) {
   wire::RecordReplyItem reply;
-  const retained_entry *previous = find_turn(wanted.previous());
+  const stored_turn *previous = find_turn(wanted.previous());
   if (!wanted.previous().empty() && previous == nullptr) {
     reply.set_verdict(wire::RECORD_UNKNOWN_TURN);
     return reply;
@@ -106,7 +106,7 @@
   if (granted && wanted.want_history()) {
     add_history(wanted.previous(), reply);
   }
-  const retained_entry *previous = find_turn(wanted.previous());
+  const stored_turn *previous = find_turn(wanted.previous());
   if (granted && previous != nullptr && previous->turn->has_place()) {
     *reply.mutable_previous_place() = previous->turn->place();
   }
@@ -211,7 +211,7 @@
   return there ? &found->second : nullptr;
 }
 
-const retained_entry *record_table::find_turn(const std::string &id) const {
+const stored_turn *record_table::find_turn(const std::string &id) const {
   const auto found = turns_.find(id);
   const bool there =
       found != turns_.end() && now_ms_ < found->second.expires_ms;
@@ -221,7 +221,7 @@
 void record_table::keep(const wire::RecordTurn &turn, std::uint64_t keep_ms) {
   const std::uint64_t expires = now_ms_ + keep_ms + clock_slack_ms;
   if (find_turn(turn.id()) == nullptr) {
-    retained_entry &entry = turns_[turn.id()];
+    stored_turn &entry = turns_[turn.id()];
     turn_bytes_ -= entry.bytes;
     entry = {.turn =
                  std::make_shared<const wire::RecordTurn>(without_body(turn)),
@@ -247,7 +247,7 @@
   std::vector<const wire::RecordTurn *> chain;
   std::string id = last;
   while (!id.empty()) {
-    const retained_entry *found = find_turn(id);
+    const stored_turn *found = find_turn(id);
     if (found == nullptr) {
       break;
     }
@@ -307,7 +307,7 @@
       saved.add_closed(attempt);
     }
   }
-  std::vector<retained_entry> turns;
+  std::vector<stored_turn> turns;
   turns.reserve(turns_.size());
   for (const auto &[id, kept] : turns_) {
     turns.push_back(kept);
--- a/src/records/record_table.hpp
+++ b/src/records/record_table.hpp
@@ -85,7 +85,7 @@
   /// @return null when it was never kept or has expired. What has expired is
   /// absent from its time on, whether a sweep has been over it or not, so that
   /// replicas which sweep at other times still agree.
-  [[nodiscard]] const retained_entry *find_turn(const std::string &id) const;
+  [[nodiscard]] const stored_turn *find_turn(const std::string &id) const;
   void keep(const wire::RecordTurn &turn, std::uint64_t keep_ms);
   void add_history(const std::string &last, wire::RecordReplyItem &reply) const;
   void drop_expired();
@@ -95,7 +95,7 @@
   tenants::quota_time quota_time_ = 0;
   std::unordered_map<std::string, tenants::quota_account> quotas_;
   std::unordered_map<std::string, program> programs_;
-  std::unordered_map<std::string, retained_entry> turns_;
+  std::unordered_map<std::string, stored_turn> turns_;
   std::size_t turn_bytes_ = 0;
   std::vector<wire::RecordTurn> kept_;
   std::vector<std::string> dropped_;
--- a/src/records/snapshot_image.cpp
+++ b/src/records/snapshot_image.cpp
@@ -7,7 +7,7 @@
 snapshot_image::snapshot_image(std::uint64_t time_ms,
                                wire::RecordSnapshot quotas,
                                std::vector<wire::RecordProgram> programs,
-                               std::vector<retained_entry> turns,
+                               std::vector<stored_turn> turns,
                                std::size_t part_bytes)
     : time_ms_(time_ms), quotas_(std::move(quotas)),
       programs_(std::move(programs)), turns_(std::move(turns)) {
@@ -41,7 +41,7 @@
       *part.add_programs() = programs_[place];
       continue;
     }
-    const retained_entry &kept = turns_[place - programs_.size()];
+    const stored_turn &kept = turns_[place - programs_.size()];
     wire::RecordKeptTurn &saved = *part.add_turns();
     *saved.mutable_turn() = *kept.turn;
     saved.set_expires_ms(kept.expires_ms);
--- a/src/records/snapshot_image.hpp
+++ b/src/records/snapshot_image.hpp
@@ -14,7 +14,7 @@
 namespace heathtrestle::records {
 
 /// A turn that is kept, without its body, which lies on the disk.
-struct retained_entry {
+struct stored_turn {
   std::shared_ptr<const wire::RecordTurn> turn;
   /// Until when it is kept, in milliseconds of the leaders' clocks.
   std::uint64_t expires_ms = 0;
@@ -29,7 +29,7 @@
   /// zero for one part that holds everything.
   snapshot_image(std::uint64_t time_ms, wire::RecordSnapshot quotas,
                  std::vector<wire::RecordProgram> programs,
-                 std::vector<retained_entry> turns, std::size_t part_bytes);
+                 std::vector<stored_turn> turns, std::size_t part_bytes);
 
   /// At least one, also of an empty table.
   [[nodiscard]] std::size_t parts() const { return part_ends_.size(); }
@@ -48,7 +48,7 @@
   /// Holds the accounts of tenants alone, with their time.
   wire::RecordSnapshot quotas_;
   std::vector<wire::RecordProgram> programs_;
-  std::vector<retained_entry> turns_;
+  std::vector<stored_turn> turns_;
   /// The place behind the last record of each part.
   std::vector<std::size_t> part_ends_;
 };
--- a/src/records/snapshot_transfer.cpp
+++ b/src/records/snapshot_transfer.cpp
@@ -5,10 +5,10 @@
 
 namespace heathtrestle::records {
 
-void snapshot_sender::want(const replica_id &follower) {
-  const bool under_way = current_.has_value() && current_->to == follower;
+void snapshot_sender::enqueue(const replica_id &follower) {
+  const bool in_progress = current_.has_value() && current_->to == follower;
   const bool waits = std::ranges::find(waiting_, follower) != waiting_.end();
-  if (!under_way && !waits) {
+  if (!in_progress && !waits) {
     waiting_.push_back(follower);
   }
 }
@@ -25,13 +25,13 @@
   const bool moved = progress.next_part() != current_->next_part;
   current_->next_part = progress.next_part();
   current_->sent = current_->sent && !moved;
-  current_->progressed = now;
+  current_->last_progress = now;
   if (current_->next_part >= current_->content.image.parts()) {
     current_.reset();
   }
 }
 
-void snapshot_sender::drop(const replica_id &follower) {
+void snapshot_sender::cancel(const replica_id &follower) {
   std::erase(waiting_, follower);
   if (current_.has_value() && current_->to == follower) {
     current_.reset();
@@ -44,9 +44,9 @@
 }
 
 std::optional<snapshot_sender::part>
-snapshot_sender::next(timestamp now, const take_source &take) {
+snapshot_sender::next_due(timestamp now, const take_source &take) {
   const bool given_up = current_.has_value() &&
-                        now >= current_->progressed + options_.give_up_after;
+                        now >= current_->last_progress + options_.give_up_after;
   if (given_up) {
     current_.reset();
   }
@@ -57,19 +57,19 @@
     }
     current_.emplace(transfer{.to = waiting_.front(),
                               .content = take(options_.part_bytes),
-                              .progressed = now});
+                              .last_progress = now});
     waiting_.pop_front();
   }
-  transfer &going = *current_;
-  if (going.sent && now < going.sent_at + options_.resend_after) {
+  transfer &active = *current_;
+  if (active.sent && now < active.sent_at + options_.resend_after) {
     return std::nullopt;
   }
-  going.sent = true;
-  going.sent_at = now;
-  part due{.to = going.to, .request = going.content.header, .begins = begins};
-  *due.request.mutable_records() = going.content.image.part(going.next_part);
-  due.request.set_part(static_cast<std::uint32_t>(going.next_part));
-  due.request.set_more(going.next_part + 1 < going.content.image.parts());
+  active.sent = true;
+  active.sent_at = now;
+  part due{.to = active.to, .request = active.content.header, .begins = begins};
+  *due.request.mutable_records() = active.content.image.part(active.next_part);
+  due.request.set_part(static_cast<std::uint32_t>(active.next_part));
+  due.request.set_more(active.next_part + 1 < active.content.image.parts());
   return due;
 }
 
--- a/src/records/snapshot_transfer.hpp
+++ b/src/records/snapshot_transfer.hpp
@@ -48,17 +48,17 @@
       : options_(options) {}
 
   /// A follower lacks entries that the log has dropped.
-  void want(const replica_id &follower);
+  void enqueue(const replica_id &follower);
   /// A follower holds all parts before `progress.next_part`.
   void on_progress(const wire::SnapshotProgress &progress, timestamp now);
   /// A follower that needs nothing more: removed, or dead.
-  void drop(const replica_id &follower);
+  void cancel(const replica_id &follower);
   /// Forgets everything: this node does not lead any more.
   void clear();
 
   /// @param take called when a transfer begins; the state is as of then.
   /// @return the part that is due, if any.
-  std::optional<part> next(timestamp now, const take_source &take);
+  std::optional<part> next_due(timestamp now, const take_source &take);
 
 private:
   struct transfer {
@@ -67,7 +67,7 @@
     std::size_t next_part = 0;
     bool sent = false;
     timestamp sent_at{};
-    timestamp progressed{};
+    timestamp last_progress{};
   };
 
   snapshot_transfer_options options_;
--- a/tests/records/snapshot_transfer_test.cpp
+++ b/tests/records/snapshot_transfer_test.cpp
@@ -26,7 +26,7 @@
   for (std::size_t each = 0; each < programs.size(); ++each) {
     programs[each].set_id(fmt::format("program-{}", each));
   }
-  std::vector<retained_entry> kept;
+  std::vector<stored_turn> kept;
   for (std::size_t each = 0; each < turns; ++each) {
     auto turn = std::make_shared<wire::RecordTurn>();
     turn->set_id(fmt::format("turn-{}", each));
@@ -93,52 +93,54 @@
 
   void a_part_waits_for_the_one_before() {
     snapshot_sender sender({});
-    sender.want(follower(1));
+    sender.enqueue(follower(1));
     const timestamp begun = timestamp_from(1000);
-    const auto first = sender.next(begun, make_source);
+    const auto first = sender.next_due(begun, make_source);
     CPPUNIT_ASSERT(first && first->begins);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, first->request.part());
     CPPUNIT_ASSERT(first->request.more());
-    CPPUNIT_ASSERT(!sender.next(begun + 100ms, make_source));
+    CPPUNIT_ASSERT(!sender.next_due(begun + 100ms, make_source));
     sender.on_progress(progress_of(follower(1), 1), begun + 150ms);
-    const auto second = sender.next(begun + 150ms, make_source);
+    const auto second = sender.next_due(begun + 150ms, make_source);
     CPPUNIT_ASSERT(second && !second->begins);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, second->request.part());
   }
 
   void a_lost_part_is_sent_again() {
     snapshot_sender sender({});
-    sender.want(follower(1));
+    sender.enqueue(follower(1));
     const timestamp begun = timestamp_from(1000);
-    CPPUNIT_ASSERT(sender.next(begun, make_source).has_value());
-    const auto again = sender.next(begun + 700ms, make_source);
+    CPPUNIT_ASSERT(sender.next_due(begun, make_source).has_value());
+    const auto again = sender.next_due(begun + 700ms, make_source);
     CPPUNIT_ASSERT(again && !again->begins);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, again->request.part());
   }
 
   void followers_are_served_one_after_the_other() {
     snapshot_sender sender({});
-    sender.want(follower(1));
-    sender.want(follower(2));
-    sender.want(follower(2));
+    sender.enqueue(follower(1));
+    sender.enqueue(follower(2));
+    sender.enqueue(follower(2));
     const timestamp begun = timestamp_from(1000);
-    CPPUNIT_ASSERT(sender.next(begun, make_source)->to == follower(1));
-    CPPUNIT_ASSERT(!sender.next(begun, make_source));
+    CPPUNIT_ASSERT(sender.next_due(begun, make_source)->to == follower(1));
+    CPPUNIT_ASSERT(!sender.next_due(begun, make_source));
     const auto all = static_cast<std::uint32_t>(make_image().parts());
     sender.on_progress(progress_of(follower(1), all), begun);
-    CPPUNIT_ASSERT(sender.next(begun, make_source)->to == follower(2));
+    CPPUNIT_ASSERT(sender.next_due(begun, make_source)->to == follower(2));
     sender.on_progress(progress_of(follower(2), all), begun);
-    CPPUNIT_ASSERT(!sender.next(begun, make_source));
+    CPPUNIT_ASSERT(!sender.next_due(begun, make_source));
   }
 
   void a_silent_follower_makes_way() {
     snapshot_sender sender({});
-    sender.want(follower(1));
-    sender.want(follower(2));
+    sender.enqueue(follower(1));
+    sender.enqueue(follower(2));
     const timestamp begun = timestamp_from(1000);
-    CPPUNIT_ASSERT(sender.next(begun, make_source)->to == follower(1));
-    CPPUNIT_ASSERT(sender.next(begun + 2900ms, make_source)->to == follower(1));
-    CPPUNIT_ASSERT(sender.next(begun + 3000ms, make_source)->to == follower(2));
+    CPPUNIT_ASSERT(sender.next_due(begun, make_source)->to == follower(1));
+    CPPUNIT_ASSERT(sender.next_due(begun + 2900ms, make_source)->to ==
+                   follower(1));
+    CPPUNIT_ASSERT(sender.next_due(begun + 3000ms, make_source)->to ==
+                   follower(2));
   }
 
   void copies_of_parts_are_passed_over() {
