--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -289,7 +289,7 @@
                 quota_clock_.read(now), now);
       continue;
     }
-    if (auto known = table_.settled(item.change())) {
+    if (auto known = table_.decided_outcome(item.change())) {
       taken_up_.erase(question_hash(request.reply_to(), item.id()));
       ++request_counts_.settled;
       known->set_id(item.id());
--- a/src/records/record_table.cpp
+++ b/src/records/record_table.cpp
@@ -93,13 +93,13 @@
     account.reserved += wanted.most();
     reply.set_verdict(wire::RECORD_GRANTED);
   }
-  describe_grant(wanted, account, reply);
+  add_grant_details(wanted, account, reply);
   return reply;
 }
 
-void record_table::describe_grant(const wire::BeginTurn &wanted,
-                                  const program &account,
-                                  wire::RecordReplyItem &reply) const {
+void record_table::add_grant_details(const wire::BeginTurn &wanted,
+                                     const program &account,
+                                     wire::RecordReplyItem &reply) const {
   reply.set_spent(account.spent);
   reply.set_reserved(account.reserved);
   const bool granted = reply.verdict() == wire::RECORD_GRANTED;
@@ -113,12 +113,12 @@
 }
 
 std::optional<wire::RecordReplyItem>
-record_table::settled(const wire::RecordChange &change) const {
+record_table::decided_outcome(const wire::RecordChange &change) const {
   switch (change.body_case()) {
   case wire::RecordChange::kBegin:
-    return settled(change.begin());
+    return decided_outcome(change.begin());
   case wire::RecordChange::kEnd:
-    return settled(change.end());
+    return decided_outcome(change.end());
   case wire::RecordChange::kRead:
     // A turn that is kept never changes; that there is none takes the log.
     return find_turn(change.read().last()) != nullptr
@@ -130,7 +130,7 @@
 }
 
 std::optional<wire::RecordReplyItem>
-record_table::settled(const wire::BeginTurn &wanted) const {
+record_table::decided_outcome(const wire::BeginTurn &wanted) const {
   const program *account = find_account(wanted.program());
   const bool chain_kept =
       wanted.previous().empty() || find_turn(wanted.previous()) != nullptr;
@@ -141,12 +141,12 @@
   }
   wire::RecordReplyItem reply;
   reply.set_verdict(wire::RECORD_GRANTED);
-  describe_grant(wanted, *account, reply);
+  add_grant_details(wanted, *account, reply);
   return reply;
 }
 
 std::optional<wire::RecordReplyItem>
-record_table::settled(const wire::EndTurn &ended) const {
+record_table::decided_outcome(const wire::EndTurn &ended) const {
   const program *account = find_account(ended.program());
   const bool nothing_to_keep =
       ended.kept().id().empty() || find_turn(ended.kept().id()) != nullptr;
--- a/src/records/record_table.hpp
+++ b/src/records/record_table.hpp
@@ -34,7 +34,7 @@
   /// no later entry can change; nothing where the log has to decide. Such
   /// answers need no entry of their own.
   [[nodiscard]] std::optional<wire::RecordReplyItem>
-  settled(const wire::RecordChange &change) const;
+  decided_outcome(const wire::RecordChange &change) const;
 
   /// Whole turns that were taken in since the last call.
   std::vector<wire::RecordTurn> take_kept() { return std::exchange(kept_, {}); }
@@ -69,17 +69,17 @@
   wire::RecordReplyItem begin(const wire::BeginTurn &wanted);
   [[nodiscard]] wire::RecordReplyItem read(const wire::ReadTurns &wanted) const;
   [[nodiscard]] std::optional<wire::RecordReplyItem>
-  settled(const wire::BeginTurn &wanted) const;
+  decided_outcome(const wire::BeginTurn &wanted) const;
   [[nodiscard]] std::optional<wire::RecordReplyItem>
-  settled(const wire::EndTurn &ended) const;
+  decided_outcome(const wire::EndTurn &ended) const;
   wire::RecordReplyItem keep(const wire::KeepTurns &copies);
   wire::RecordReplyItem end(const wire::EndTurn &ended);
   wire::RecordReplyItem reserve(const wire::ReserveQuota &wanted);
   /// @return null when there is none, or it has expired.
   [[nodiscard]] const program *find_account(const std::string &id) const;
   /// Adds what a grant tells besides its verdict.
-  void describe_grant(const wire::BeginTurn &wanted, const program &account,
-                      wire::RecordReplyItem &reply) const;
+  void add_grant_details(const wire::BeginTurn &wanted, const program &account,
+                         wire::RecordReplyItem &reply) const;
   /// The account, without what has expired.
   program &account_of(const std::string &id, std::uint64_t keep_ms);
   /// @return null when it was never kept or has expired. What has expired is
--- a/tests/records/record_table_test.cpp
+++ b/tests/records/record_table_test.cpp
@@ -99,7 +99,7 @@
     apply(begin("b", 10, 100, "a"));
     for (const auto &change : {begin("b", 10, 100, "a"), end("a", 5, "", true),
                                end("a", 5), read("a")}) {
-      const auto settled = table_.settled(change);
+      const auto settled = table_.decided_outcome(change);
       CPPUNIT_ASSERT(settled);
       wire::RecordBatch batch;
       batch.set_time_ms(1000);
@@ -115,14 +115,14 @@
     for (const auto &change :
          {begin("b", 10, 100), begin("a", 10, 100), begin("b", 10, 100, "c"),
           end("b", 0), end("cancelled", 0, "", true), read("c")}) {
-      CPPUNIT_ASSERT(!table_.settled(change));
+      CPPUNIT_ASSERT(!table_.decided_outcome(change));
     }
     // What has expired is not there, whether it was swept or not.
     wire::RecordBatch later;
     later.set_time_ms(1000 + 10 * keep);
     table_.apply(later);
-    CPPUNIT_ASSERT(!table_.settled(read("a")));
-    CPPUNIT_ASSERT(!table_.settled(end("a", 5, "", true)));
+    CPPUNIT_ASSERT(!table_.decided_outcome(read("a")));
+    CPPUNIT_ASSERT(!table_.decided_outcome(end("a", 5, "", true)));
   }
 
   void a_turn_that_fits_is_granted() {
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -142,7 +142,7 @@
         for (int turn = 0; turn < 100; ++turn) {
           wire::RecordChange question;
           question.mutable_read()->set_last(fmt::format("t{}", turn));
-          CPPUNIT_ASSERT(table.settled(question));
+          CPPUNIT_ASSERT(table.decided_outcome(question));
         }
       }
     }
