--- a/tests/records/record_group_test.cpp
+++ b/tests/records/record_group_test.cpp
@@ -56,7 +56,7 @@
   CPPUNIT_TEST(what_was_wanted_in_an_earlier_term_is_not_reserved);
   CPPUNIT_TEST_SUITE_END();
 
-  /// What the quota of `ask_permit` allows in 5 s: 60 x 1.1 + 20.
+  /// What the quota of `request_permit` allows in 5 s: 60 x 1.1 + 20.
   static constexpr std::size_t permits_allowed = 86;
 
   static std::size_t most_in_window(const std::vector<timestamp> &used) {
@@ -72,10 +72,10 @@
   }
 
   /// Asks all nodes for permits, far more than there are.
-  static void ask_permits(record_group &group, duration_ms span) {
+  static void request_permits(record_group &group, duration_ms span) {
     for (duration_ms passed{0}; passed < span; passed += 20ms) {
       for (const std::string &name : group.names()) {
-        group.ask_permit(name);
+        group.request_permit(name);
       }
       group.run(20ms);
     }
@@ -87,8 +87,8 @@
                            most <= permits_allowed);
   }
 
-  static void found_with(record_group &group,
-                         const std::vector<std::string> &names) {
+  static void start_group(record_group &group,
+                          const std::vector<std::string> &names) {
     for (const std::string &name : names) {
       group.add(name);
     }
@@ -129,7 +129,7 @@
 public:
   void a_founder_takes_the_others_in() {
     record_group group(1);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     CPPUNIT_ASSERT(group.voters() == (std::set<std::string>{"a", "b", "c"}));
     keep(group, "t", 5, 500ms);
     check_kept(group, "t", 5);
@@ -138,15 +138,15 @@
   void a_wiped_node_is_whole_again_within_two_seconds() {
     for (const char *wiped : {"a", "b"}) {
       record_group group(2);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       keep(group, "t", 5, 500ms);
       group.wipe(wiped);
       group.run(1000ms);
       group.start(wiped);
       group.run(2000ms);
       CPPUNIT_ASSERT(group.voters() == (std::set<std::string>{"a", "b", "c"}));
-      const std::string lead = group.leader();
-      const auto *log = group.at(lead).log();
+      const std::string leader_name = group.leader();
+      const auto *log = group.at(leader_name).log();
       CPPUNIT_ASSERT(!log->change_in_progress());
       for (const replica_id &voter : log->voters()) {
         CPPUNIT_ASSERT(!log->is_dead(voter));
@@ -156,7 +156,7 @@
 
   void wipes_one_after_the_other_lose_nothing() {
     record_group group(3);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 20, 500ms);
     int wave = 0;
     for (const char *wiped : {"b", "a", "c", "b"}) {
@@ -173,7 +173,7 @@
   void all_lose_power_and_one_its_disk() {
     for (const char *wiped : {"a", "b", "c"}) {
       record_group group(4);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       keep(group, "t", 10, 500ms);
       for (const char *name : {"a", "b", "c"}) {
         group.kill(name);
@@ -190,7 +190,7 @@
 
   void a_minority_that_was_behind_does_not_lead() {
     record_group group(5);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     group.isolate("c");
     keep(group, "t", 10, 1500ms);
     group.wipe("a");
@@ -208,7 +208,7 @@
   void of_two_either_may_be_wiped() {
     for (const char *wiped : {"a", "b"}) {
       record_group group(6);
-      found_with(group, {"a", "b"});
+      start_group(group, {"a", "b"});
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, group.voters().size());
       keep(group, "t", 10, 500ms);
       group.wipe(wiped);
@@ -223,7 +223,7 @@
 
   void a_node_lost_for_good_gives_way_to_a_spare() {
     record_group group(7);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
     group.kill("b");
     group.run(1000ms);
@@ -237,10 +237,10 @@
 
   void a_retired_node_is_emptied() {
     record_group group(8);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
-    const std::string lead = group.leader();
-    const std::string retired = lead == "c" ? "b" : "c";
+    const std::string leader_name = group.leader();
+    const std::string retired = leader_name == "c" ? "b" : "c";
     group.retire(retired);
     group.run(1000ms);
     CPPUNIT_ASSERT(group.at(group.leader())
@@ -259,7 +259,7 @@
 
   void a_retired_leader_hands_over() {
     record_group group(9);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
     const std::string retired = group.leader();
     group.retire(retired);
@@ -276,8 +276,8 @@
   static constexpr std::size_t five_voters = 5;
 
   /// Five voters on eight nodes, no spares.
-  static void found_five(record_group &group) {
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+  static void start_five_voters(record_group &group) {
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     CPPUNIT_ASSERT_EQUAL(five_voters, group.voters().size());
     keep(group, "t", 10, 500ms);
@@ -288,12 +288,12 @@
   static void run_until_emptied(record_group &group, const std::string &name) {
     for (int step = 0; step < 400; ++step) {
       group.run(20ms);
-      const std::string lead = group.leader();
-      if (lead.empty()) {
+      const std::string leader_name = group.leader();
+      if (leader_name.empty()) {
         continue;
       }
       CPPUNIT_ASSERT(group.voters().size() >= five_voters);
-      if (group.at(lead).removable_nodes(group.now()).contains(name)) {
+      if (group.at(leader_name).removable_nodes(group.now()).contains(name)) {
         return;
       }
     }
@@ -303,17 +303,17 @@
   void a_group_keeps_its_voters_while_machines_are_emptied() {
     for (std::uint64_t seed = 80; seed < 84; ++seed) {
       record_group group(seed, group_size::tolerating(2, 4), 0, 4);
-      found_five(group);
+      start_five_voters(group);
       // The leader too, and another one meanwhile.
-      const std::string lead = group.leader();
+      const std::string leader_name = group.leader();
       const std::set<std::string> voters = group.voters();
       const std::string other =
-          *voters.begin() == lead ? *voters.rbegin() : *voters.begin();
-      group.retire(lead);
+          *voters.begin() == leader_name ? *voters.rbegin() : *voters.begin();
+      group.retire(leader_name);
       group.retire(other);
-      run_until_emptied(group, lead);
+      run_until_emptied(group, leader_name);
       run_until_emptied(group, other);
-      group.kill(lead);
+      group.kill(leader_name);
       group.kill(other);
       CPPUNIT_ASSERT_EQUAL(five_voters, group.voters().size());
       check_kept(group, "t", 10);
@@ -323,7 +323,7 @@
   void two_disks_are_lost_as_soon_as_a_machine_is_emptied() {
     for (std::uint64_t seed = 90; seed < 94; ++seed) {
       record_group group(seed, group_size::tolerating(2, 4), 0, 4);
-      found_five(group);
+      start_five_voters(group);
       const std::set<std::string> before = group.voters();
       const std::string retired = *std::next(before.begin());
       group.retire(retired);
@@ -350,11 +350,11 @@
 
   void a_cut_leader_acknowledges_nothing() {
     record_group group(10);
-    found_with(group, {"a", "b", "c"});
-    const std::string lead = group.leader();
+    start_group(group, {"a", "b", "c"});
+    const std::string leader_name = group.leader();
     for (const std::string &name : group.names()) {
-      if (name != lead) {
-        group.cut(lead, name);
+      if (name != leader_name) {
+        group.cut(leader_name, name);
       }
     }
     // The client still reaches all of them.
@@ -366,19 +366,19 @@
 
   void a_frozen_leader_wakes_as_follower() {
     record_group group(11);
-    found_with(group, {"a", "b", "c"});
-    const std::string lead = group.leader();
-    group.freeze(lead);
+    start_group(group, {"a", "b", "c"});
+    const std::string leader_name = group.leader();
+    group.freeze(leader_name);
     keep(group, "t", 10, 3000ms);
-    group.thaw(lead);
+    group.thaw(leader_name);
     group.run(1000ms);
-    CPPUNIT_ASSERT(group.leader() != lead);
+    CPPUNIT_ASSERT(group.leader() != leader_name);
     check_kept(group, "t", 10);
   }
 
   void nothing_piles_up_for_a_node_that_is_cut_off() {
     record_group group(12);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string cut_off = group.leader() == "c" ? "b" : "c";
     group.isolate(cut_off);
     group.run(1500ms);
@@ -394,7 +394,7 @@
     // Refusals of entries that were under way must not each bring the whole
     // backlog again: a leader went over its memory by that.
     record_group group(14);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string frozen = group.leader() == "c" ? "b" : "c";
     const std::size_t begin = group.bytes_to(frozen);
     group.freeze(frozen);
@@ -418,7 +418,7 @@
   void a_slow_node_is_not_sent_the_same_again() {
     // What was sent and is not yet acknowledged is on its way, not lost.
     record_group group(15);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string slow = group.leader() == "c" ? "b" : "c";
     const std::size_t begin = group.bytes_to(slow);
     group.slow_down(slow, 250ms);
@@ -438,16 +438,16 @@
 
   void budgets_hold_over_a_change_of_leaders() {
     record_group group(13);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     int granted = 0;
     for (int turn = 0; turn < 12; ++turn) {
       const auto id =
           group.begin_turn("p", fmt::format("attempt-{}", turn), 10, 55);
       if (turn % 3 == 0) {
-        const std::string lead = group.leader();
-        group.kill(lead);
+        const std::string leader_name = group.leader();
+        group.kill(leader_name);
         group.run(1500ms);
-        group.start(lead);
+        group.start(leader_name);
       }
       group.run(1500ms);
       CPPUNIT_ASSERT(group.verdict(id).has_value());
@@ -465,7 +465,7 @@
 private:
   void a_group_that_bears_two_losses_has_five_voters() {
     record_group group(5, records::group_size::tolerating(2));
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"});
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group.voters().size());
     const auto *log = group.at(group.leader()).log();
     std::size_t following = 0;
@@ -481,7 +481,7 @@
     const std::vector<std::string> all{"a", "b", "c", "d", "e"};
     for (std::size_t first = 0; first + 1 < all.size(); ++first) {
       record_group group(6 + first, records::group_size::tolerating(2));
-      found_with(group, all);
+      start_group(group, all);
       keep(group, "t", 10, 500ms);
       for (const std::string &name : all) {
         group.kill(name);
@@ -509,7 +509,7 @@
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
       record_group group(9, records::group_size::tolerating(2, 4), partition,
                          4);
-      found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+      start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
       group.run(8000ms);
       ++leads[group.leader()];
       keep(group, "t", 5, 500ms);
@@ -523,7 +523,7 @@
     for (const bool joined : {false, true}) {
       record_group group(10);
       group.options().batch_interval = joined ? 1000ms : 0ms;
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       const auto before = group.at(group.leader()).log()->last_index();
       for (int turn = 0; turn < 6; ++turn) {
         group.keep_turn(fmt::format("j{}", turn));
@@ -541,7 +541,7 @@
   void a_question_asked_again_is_recorded_once() {
     // Whoever waits asks again every 200 ms, and what he asks for takes 300 ms.
     record_group group(41);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     for (const char *name : {"a", "b", "c"}) {
       group.slow_down(name, 150ms);
     }
@@ -558,13 +558,13 @@
   // three times as much to record as was asked.
   void a_question_whose_answer_is_late_is_recorded_once() {
     record_group group(43);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const auto before = group.at(group.leader()).log()->last_index();
-    group.lose_answers(true);
+    group.lose_replies(true);
     const std::uint64_t id = group.keep_turn("late");
     group.run(2000ms); // asked again every 200 ms
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, group.unanswered());
-    group.lose_answers(false);
+    group.lose_replies(false);
     group.run(500ms);
     CPPUNIT_ASSERT(group.verdict(id) == wire::RECORD_DONE);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
@@ -586,7 +586,7 @@
         group.bootstrap("a");
         for (int wave = 0; wave < 800; ++wave) {
           if (busy) {
-            group.ask_at_once(wave);
+            group.submit_once(wave);
           }
           group.run(10ms);
         }
@@ -604,7 +604,7 @@
     for (char name = 'a'; name < 'a' + 20; ++name) {
       names.emplace_back(1, name);
     }
-    found_with(group, names);
+    start_group(group, names);
     const std::string leader = group.leader();
     CPPUNIT_ASSERT(!leader.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group.voters().size());
@@ -626,7 +626,7 @@
   void a_node_without_a_part_keeps_to_the_leader() {
     // Three of eight nodes have no part in this partition.
     record_group group(44, records::group_size::tolerating(2, 4), 0, 4);
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     const std::size_t before = group.hellos();
     group.run(3000ms);
@@ -636,10 +636,10 @@
       CPPUNIT_ASSERT(group.at(name).knows_leader(group.now()));
     }
     // It is found all the same when a voter is lost for good.
-    const std::string lead = group.leader();
+    const std::string leader_name = group.leader();
     const std::set<std::string> voters = group.voters();
     for (const std::string &name : voters) {
-      if (name != lead) {
+      if (name != leader_name) {
         group.kill(name);
         break;
       }
@@ -654,7 +654,7 @@
     // not keep silent over that.
     record_group group(45);
     group.options().entries_per_step = 4;
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     for (int turn = 0; turn < 60; ++turn) {
       group.keep_turn(fmt::format("t{}", turn));
       group.run(210ms); // an entry each
@@ -668,12 +668,13 @@
     while (group.leader().empty()) {
       group.run(5ms);
     }
-    const std::string lead = group.leader();
-    CPPUNIT_ASSERT(group.at(lead).has_more_to_apply());
+    const std::string leader_name = group.leader();
+    CPPUNIT_ASSERT(group.at(leader_name).has_more_to_apply());
     group.run(4000ms);
-    CPPUNIT_ASSERT_EQUAL(lead, group.leader());
-    CPPUNIT_ASSERT(!group.at(lead).has_more_to_apply());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{60}, group.at(lead).table().turns());
+    CPPUNIT_ASSERT_EQUAL(leader_name, group.leader());
+    CPPUNIT_ASSERT(!group.at(leader_name).has_more_to_apply());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{60},
+                         group.at(leader_name).table().turns());
   }
 
   static void restart(record_group &group,
@@ -689,7 +690,7 @@
 
   /// Two voters of three remain, and the third machine is taken away.
   static std::vector<std::string> shrink_to_two(record_group &group) {
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string retired = group.leader() == "c" ? "b" : "c";
     group.retire(retired);
     group.run(1000ms);
@@ -744,7 +745,7 @@
   void all_restart_at_any_step_of_a_removal() {
     for (int step = 0; step < 60; ++step) {
       record_group group(75);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       keep(group, "t", 5, 500ms);
       group.retire(group.leader() == "c" ? "b" : "c");
       group.run(duration_ms{5 * step});
@@ -759,7 +760,7 @@
     // Two voters take a third one in. Then one of the two is gone for good, and
     // the others restart before anybody takes its place.
     record_group group(77);
-    found_with(group, {"a", "b"});
+    start_group(group, {"a", "b"});
     keep(group, "t", 5, 500ms);
     group.add("c");
     group.run(4000ms);
@@ -782,7 +783,7 @@
   /// and during that one of the others, or all, restart with their disks.
   static void run_random_changes(std::uint64_t seed) {
     record_group group(seed);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string message = fmt::format("seed {}", seed);
     std::set<std::string> there{"a", "b", "c"};
     std::vector<std::pair<std::uint64_t, std::string>> asked;
@@ -831,14 +832,14 @@
     record_group group(43, records::group_size::tolerating(2, 4), 0, 4);
     group.options().replace_after = 3000ms;
     group.options().liveness_timeout = 1200ms;
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     const std::set<std::string> voters = group.voters();
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, voters.size());
-    const std::string lead = group.leader();
-    const std::string lost =
-        *std::find_if(voters.begin(), voters.end(),
-                      [&lead](const auto &each) { return each != lead; });
+    const std::string leader_name = group.leader();
+    const std::string lost = *std::find_if(
+        voters.begin(), voters.end(),
+        [&leader_name](const auto &each) { return each != leader_name; });
     const std::size_t added = group.logged(logging::event::record_member_added);
     group.kill(lost);
     group.run(2600ms);
@@ -855,7 +856,7 @@
              const std::vector<std::string> &machines = {"a", "b", "c"},
              records::group_size size = {}, std::size_t losses = 1) {
     record_group group(seed, size);
-    found_with(group, machines);
+    start_group(group, machines);
     const std::string message = fmt::format("seed {}", seed);
     std::vector<std::pair<std::uint64_t, std::string>> asked;
     for (int round = 0; round < 10; ++round) {
@@ -930,20 +931,21 @@
   void a_tenant_stays_within_its_limit_over_changes_of_leaders() {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       record_group group(seed);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       for (int times = 0; times < 12; ++times) {
-        const std::string lead = group.leader();
-        const std::uint64_t trouble = lead.empty() ? 4 : group.draw() % 4;
+        const std::string leader_name = group.leader();
+        const std::uint64_t trouble =
+            leader_name.empty() ? 4 : group.draw() % 4;
         if (trouble == 0) {
-          group.kill(lead);
+          group.kill(leader_name);
         } else if (trouble == 1) {
-          group.isolate(lead);
+          group.isolate(leader_name);
         } else if (trouble == 2) {
-          group.freeze(lead);
+          group.freeze(leader_name);
         } else if (trouble == 3) {
-          group.wipe(lead);
+          group.wipe(leader_name);
         }
-        ask_permits(group, duration_ms{200 + group.draw() % 1800});
+        request_permits(group, duration_ms{200 + group.draw() % 1800});
         group.heal();
         for (const std::string &name : group.names()) {
           group.thaw(name);
@@ -951,7 +953,7 @@
             group.start(name);
           }
         }
-        ask_permits(group, duration_ms{500 + group.draw() % 2500});
+        request_permits(group, duration_ms{500 + group.draw() % 2500});
       }
       check_limit(group, fmt::format("seed {}", seed));
       CPPUNIT_ASSERT(group.permits_used().size() > 100);
@@ -960,23 +962,23 @@
 
   void a_leader_that_is_cut_off_gives_no_more_than_it_has() {
     record_group group(41);
-    found_with(group, {"a", "b", "c"});
-    ask_permits(group, 3000ms);
-    const std::string lead = group.leader();
+    start_group(group, {"a", "b", "c"});
+    request_permits(group, 3000ms);
+    const std::string leader_name = group.leader();
     for (const std::string &name : group.names()) {
-      if (name != lead) {
-        group.cut(lead, name); // clients reach both sides
+      if (name != leader_name) {
+        group.cut(leader_name, name); // clients reach both sides
       }
     }
-    ask_permits(group, 8000ms);
+    request_permits(group, 8000ms);
     check_limit(group, "a cut leader");
   }
 
   void all_restart_and_no_permit_is_forgotten() {
     record_group group(42);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     for (int times = 0; times < 5; ++times) {
-      ask_permits(group, 1500ms);
+      request_permits(group, 1500ms);
       for (const std::string &name : group.names()) {
         group.kill(name);
       }
@@ -984,18 +986,18 @@
         group.start(name);
       }
     }
-    ask_permits(group, 6000ms);
+    request_permits(group, 6000ms);
     check_limit(group, "restarts");
     CPPUNIT_ASSERT(group.permits_used().size() > 50);
   }
 
   void nobody_but_a_leader_reserves() {
     record_group group(43);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     wire::RecordChange change;
     change.mutable_reserve_quota()->set_tenant("tenant");
     change.mutable_reserve_quota()->set_wanted(1000);
-    const std::uint64_t id = group.ask(change);
+    const std::uint64_t id = group.submit(change);
     group.run(1000ms);
     CPPUNIT_ASSERT(!group.verdict(id).has_value());
   }
@@ -1006,12 +1008,12 @@
   void what_was_wanted_in_an_earlier_term_is_not_reserved() {
     record_group group(44);
     group.options().batch_interval = 3000ms;
-    found_with(group, {"a"});
+    start_group(group, {"a"});
     group.keep_turn("t");
     group.run(100ms); // whatever comes now is joined with later questions
-    group.ask_permit("a");
+    group.request_permit("a");
     group.run(100ms);
-    group.claim_lead("a", 1000);
+    group.claim_leadership("a", 1000);
     group.run(6000ms);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), group.leader());
     CPPUNIT_ASSERT(group.at("a").log()->term().value() > 1000);
--- a/tests/records/record_memory_test.cpp
+++ b/tests/records/record_memory_test.cpp
@@ -96,9 +96,9 @@
 };
 
 /// Asks a node and collects its answers.
-class asker {
+class record_client {
 public:
-  asker() {
+  record_client() {
     auto started = rpc::transport::start(
         {.address = address_, .cluster = "records"},
         [this](const wire::Envelope &envelope) { take(envelope); });
@@ -109,7 +109,7 @@
   /// Asks until all changes are answered.
   /// @return the answers in order.
   std::vector<wire::RecordReplyItem>
-  ask(running_node &node, const std::vector<wire::RecordChange> &changes) {
+  submit(running_node &node, const std::vector<wire::RecordChange> &changes) {
     wire::Envelope envelope;
     wire::RecordRequest &request = *envelope.mutable_record_request();
     request.set_reply_to(address_);
@@ -177,20 +177,21 @@
 }
 
 /// Conversations of as many turns as one request keeps.
-void keep_turns(running_node &node, asker &client) {
+void keep_turns(running_node &node, record_client &client) {
   for (std::size_t first = 0; first < turns; first += turns_a_request) {
     std::vector<wire::RecordChange> changes;
     for (std::size_t each = first; each < first + turns_a_request; ++each) {
       changes.push_back(keep_turn(each, std::max(first, each - 1)));
     }
-    client.ask(node, changes);
+    client.submit(node, changes);
   }
 }
 
-void assert_history(running_node &node, asker &client, std::size_t first) {
+void assert_history(running_node &node, record_client &client,
+                    std::size_t first) {
   wire::RecordChange change;
   change.mutable_read()->set_last(id_of(first + turns_a_request - 1));
-  const auto answer = client.ask(node, {change}).front();
+  const auto answer = client.submit(node, {change}).front();
   CPPUNIT_ASSERT_EQUAL(wire::RECORD_GRANTED, answer.verdict());
   CPPUNIT_ASSERT_EQUAL(static_cast<int>(turns_a_request),
                        answer.history_size());
@@ -214,7 +215,7 @@
 
 public:
   void kept_turns_take_disk_and_not_memory() {
-    asker client;
+    record_client client;
     const std::size_t before = heap_bytes();
     running_node node(directory_, true);
     keep_turns(node, client);
@@ -226,7 +227,7 @@
   }
 
   void a_start_reads_no_more_than_the_memory_holds() {
-    asker client;
+    record_client client;
     {
       running_node node(directory_, true);
       keep_turns(node, client);
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -81,16 +81,16 @@
     const timestamp back = group.now();
     for (int turn = 0; !is_whole(group, lost); ++turn) {
       CPPUNIT_ASSERT(group.now() <= back + catch_up);
-      group.ask_at_once(turn);
+      group.submit_once(turn);
       group.run(20ms);
     }
     return lost;
   }
 
   static bool is_whole(const record_group &group, const std::string &name) {
-    const std::string lead = group.leader();
-    return !lead.empty() &&
-           group.at(lead).log()->is_voter(group.at(name).self_id());
+    const std::string leader_name = group.leader();
+    return !leader_name.empty() &&
+           group.at(leader_name).log()->is_voter(group.at(name).self_id());
   }
 
 public:
--- a/tests/records/snapshot_transfer_test.cpp
+++ b/tests/records/snapshot_transfer_test.cpp
@@ -198,7 +198,7 @@
     group.slow_down("c", 100ms);
     group.start("c");
     for (int wave = 0; wave < 600; ++wave) {
-      group.ask_at_once(wave);
+      group.submit_once(wave);
       group.run(20ms);
     }
     group.run(2000ms);
--- a/tests/support/record_group.hpp
+++ b/tests/support/record_group.hpp
@@ -106,7 +106,7 @@
   /// Messages to the node take that much longer.
   void slow_down(const std::string &name, duration_ms by) { slow_[name] = by; }
   /// Whether answers to the client are lost.
-  void lose_answers(bool lost) { answers_lost_ = lost; }
+  void lose_replies(bool lost) { replies_lost_ = lost; }
   void freeze(const std::string &name) { frozen_.insert(name); }
   void thaw(const std::string &name) { frozen_.erase(name); }
   void retire(const std::string &name) {
@@ -124,9 +124,9 @@
       now_ += duration_ms{5};
       deliver();
       for (auto &[name, machine] : machines_) {
-        const bool due = machine.has_mail || now_ >= machine.next_tick;
+        const bool due = machine.has_messages || now_ >= machine.next_tick;
         if (machine.node && due && !frozen_.contains(name)) {
-          machine.has_mail = false;
+          machine.has_messages = false;
           machine.next_tick = now_ + duration_ms{50};
           step(name, machine);
         }
@@ -136,16 +136,16 @@
   }
 
   /// Asks for a change; asked again of every node until it is answered.
-  std::uint64_t ask(wire::RecordChange change) {
+  std::uint64_t submit(wire::RecordChange change) {
     const std::uint64_t id = ++next_id_;
-    asked_[id] = std::move(change);
+    unanswered_[id] = std::move(change);
     return id;
   }
   /// A question to the leader that is not asked again; the next may come before
   /// it is answered.
-  void ask_at_once(int number) {
-    const std::string lead = leader();
-    if (lead.empty()) {
+  void submit_once(int number) {
+    const std::string leader_name = leader();
+    if (leader_name.empty()) {
       return;
     }
     wire::Envelope envelope;
@@ -154,11 +154,12 @@
     wire::RecordRequestItem &item = *request.add_items();
     item.set_id(++next_id_);
     item.mutable_change()->mutable_begin()->set_program(std::to_string(number));
-    letters_.push_back({now_, client_address, lead, std::move(envelope)});
+    in_flight_.push_back(
+        {now_, client_address, leader_name, std::move(envelope)});
   }
   /// Asks one node once for a permit of a tenant that may send ten requests a
   /// second, and ten at once.
-  void ask_permit(const std::string &node) {
+  void request_permit(const std::string &node) {
     wire::Envelope envelope;
     wire::RecordRequest &request = *envelope.mutable_record_request();
     request.set_reply_to(client_address);
@@ -173,11 +174,11 @@
     terms.set_window_ms(5000);
     terms.set_overshoot_permille(100);
     terms.set_slack(20);
-    permits_asked_[item.id()] = now_;
-    letters_.push_back({now_, client_address, node, std::move(envelope)});
+    permit_requests_[item.id()] = now_;
+    in_flight_.push_back({now_, client_address, node, std::move(envelope)});
   }
   /// A node that nobody knows says that it leads a later term.
-  void claim_lead(const std::string &to, std::uint64_t term) {
+  void claim_leadership(const std::string &to, std::uint64_t term) {
     wire::Envelope envelope;
     envelope.set_from(make_node_id("stranger").value());
     envelope.set_from_boot(1);
@@ -185,7 +186,7 @@
     *batch.mutable_leader() =
         to_wire(replica_id{make_node_id("stranger"), boot_id{1}});
     batch.add_heartbeats()->set_term(term);
-    letters_.push_back({now_, client_address, to, std::move(envelope)});
+    in_flight_.push_back({now_, client_address, to, std::move(envelope)});
   }
   /// When requests were sent with permits that were not void by then.
   [[nodiscard]] const std::vector<timestamp> &permits_used() const {
@@ -201,7 +202,7 @@
     end.set_keep_ms(1000000);
     end.mutable_kept()->set_id(id);
     end.mutable_kept()->set_input(std::string(input_bytes, 'x'));
-    return ask(std::move(change));
+    return submit(std::move(change));
   }
   std::uint64_t begin_turn(const std::string &program,
                            const std::string &attempt, std::uint64_t most,
@@ -216,16 +217,16 @@
     begin.set_previous(previous);
     begin.set_want_history(true);
     begin.set_keep_ms(1000000);
-    return ask(std::move(change));
+    return submit(std::move(change));
   }
   /// @return nothing while the group has not answered.
   [[nodiscard]] std::optional<wire::RecordVerdict>
   verdict(std::uint64_t id) const {
-    const auto found = answered_.find(id);
-    return found == answered_.end() ? std::nullopt
+    const auto found = verdicts_.find(id);
+    return found == verdicts_.end() ? std::nullopt
                                     : std::optional(found->second);
   }
-  [[nodiscard]] std::size_t unanswered() const { return asked_.size(); }
+  [[nodiscard]] std::size_t unanswered() const { return unanswered_.size(); }
 
   /// The node that leads and can commit, or none.
   [[nodiscard]] std::string leader() const {
@@ -240,11 +241,11 @@
   }
   [[nodiscard]] std::set<std::string> voters() const {
     std::set<std::string> names;
-    const std::string lead = leader();
-    if (lead.empty()) {
+    const std::string leader_name = leader();
+    if (leader_name.empty()) {
       return names;
     }
-    for (const replica_id &voter : at(lead).log()->voters()) {
+    for (const replica_id &voter : at(leader_name).log()->voters()) {
       for (const auto &[name, machine] : machines_) {
         if (make_node_id(name) == voter.node) {
           names.insert(name);
@@ -285,7 +286,7 @@
     wire::RecordRequest &request = *envelope.mutable_record_request();
     request.set_reply_to(client_address);
     request.add_items()->set_id(++next_id_);
-    letters_.push_back({now_, client_address, name, std::move(envelope)});
+    in_flight_.push_back({now_, client_address, name, std::move(envelope)});
     named_leader_.clear();
     run(duration_ms{50});
     return named_leader_;
@@ -318,9 +319,9 @@
     fake_disk disk;
     std::unique_ptr<records::record_node> node;
     timestamp next_tick{};
-    bool has_mail = false;
+    bool has_messages = false;
   };
-  struct letter {
+  struct in_flight_message {
     timestamp due;
     std::string from;
     std::string to;
@@ -370,27 +371,27 @@
       const auto delay =
           duration_ms{1 + static_cast<int>(random_() % 8)} +
           (found == slow_.end() ? duration_ms{0} : found->second);
-      letters_.push_back(
+      in_flight_.push_back(
           {now_ + delay, from, message.address, std::move(message.envelope)});
     }
   }
 
-  [[nodiscard]] bool passes(const letter &each) const {
+  [[nodiscard]] bool passes(const in_flight_message &each) const {
     const bool reachable =
         !isolated_.contains(each.from) && !isolated_.contains(each.to);
     return reachable && !cut_.contains({each.from, each.to});
   }
 
   void deliver() {
-    std::vector<letter> waiting;
-    std::vector<letter> due;
-    for (letter &each : letters_) {
+    std::vector<in_flight_message> waiting;
+    std::vector<in_flight_message> due;
+    for (in_flight_message &each : in_flight_) {
       (each.due <= now_ ? due : waiting).push_back(std::move(each));
     }
-    letters_ = std::move(waiting);
-    for (letter &each : due) {
+    in_flight_ = std::move(waiting);
+    for (in_flight_message &each : due) {
       if (each.to == client_address) {
-        if (passes(each) && !answers_lost_) {
+        if (passes(each) && !replies_lost_) {
           take_reply(each.envelope.record_reply());
         }
         continue;
@@ -404,7 +405,7 @@
         continue;
       }
       found->second.node->receive(std::move(each.envelope));
-      found->second.has_mail = true;
+      found->second.has_messages = true;
     }
   }
 
@@ -413,32 +414,32 @@
       named_leader_ = reply.leader_address();
     }
     for (const wire::RecordReplyItem &item : reply.items()) {
-      const auto permit = permits_asked_.find(item.id());
-      if (permit != permits_asked_.end() && item.permit().granted() &&
+      const auto permit = permit_requests_.find(item.id());
+      if (permit != permit_requests_.end() && item.permit().granted() &&
           now_ < permit->second + tenants::permit_lifetime) {
         permits_used_.push_back(now_);
       }
-      if (asked_.erase(item.id()) > 0) {
-        answered_[item.id()] = item.verdict();
+      if (unanswered_.erase(item.id()) > 0) {
+        verdicts_[item.id()] = item.verdict();
       }
     }
   }
 
   void retry_requests() {
-    if (asked_.empty() || now_ < next_retry_) {
+    if (unanswered_.empty() || now_ < next_retry_) {
       return;
     }
     next_retry_ = now_ + duration_ms{200};
     wire::Envelope envelope;
     wire::RecordRequest &request = *envelope.mutable_record_request();
     request.set_reply_to(client_address);
-    for (const auto &[id, change] : asked_) {
+    for (const auto &[id, change] : unanswered_) {
       wire::RecordRequestItem &item = *request.add_items();
       item.set_id(id);
       *item.mutable_change() = change;
     }
     for (const auto &[name, machine] : machines_) {
-      letters_.push_back({now_, client_address, name, envelope});
+      in_flight_.push_back({now_, client_address, name, envelope});
     }
   }
 
@@ -446,16 +447,16 @@
   std::mt19937_64 random_;
   records::record_node_options options_;
   std::map<std::string, node_machine> machines_;
-  std::vector<letter> letters_;
+  std::vector<in_flight_message> in_flight_;
   std::set<std::string> isolated_;
   std::set<std::string> frozen_;
   std::map<std::string, duration_ms> slow_;
-  bool answers_lost_ = false;
+  bool replies_lost_ = false;
   std::set<std::pair<std::string, std::string>> cut_;
   std::set<std::string> retiring_;
-  std::map<std::uint64_t, wire::RecordChange> asked_;
-  std::map<std::uint64_t, wire::RecordVerdict> answered_;
-  std::map<std::uint64_t, timestamp> permits_asked_;
+  std::map<std::uint64_t, wire::RecordChange> unanswered_;
+  std::map<std::uint64_t, wire::RecordVerdict> verdicts_;
+  std::map<std::uint64_t, timestamp> permit_requests_;
   std::vector<timestamp> permits_used_;
   std::uint64_t next_id_ = 0;
   timestamp next_retry_{};
