--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -14,9 +14,9 @@
 
 constexpr partition_id the_partition{};
 /// Without word from a leader for this long a node looks for its group.
-constexpr duration_ms lost_after{1000};
+constexpr duration_ms leader_timeout{1000};
 /// What another node told of the leader counts this long.
-constexpr duration_ms told_for{2000};
+constexpr duration_ms leader_hint_lifetime{2000};
 /// Learners that are no longer heard from are dropped after this long.
 constexpr duration_ms drop_learner_after{3000};
 /// Two identities of one node: the one that has been silent for the first of
@@ -25,13 +25,14 @@
 constexpr duration_ms dead_after_silence{500};
 constexpr duration_ms successor_heard_within{400};
 /// Told in place of the next part by a follower that lacks none.
-constexpr std::uint32_t no_part = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint32_t no_more_parts =
+    std::numeric_limits<std::uint32_t>::max();
 /// A leader drops nodes without a vote from the member list after this silence.
 constexpr duration_ms forget_after{5000};
 /// For so long a leader that hands over waits for a successor that holds all.
-constexpr duration_ms hand_over_limit{400};
+constexpr duration_ms transfer_timeout{400};
 
-std::uint64_t question_hash(const std::string &reply_to, std::uint64_t id) {
+std::uint64_t request_hash(const std::string &reply_to, std::uint64_t id) {
   return stable_hash(reply_to, id);
 }
 
@@ -76,7 +77,7 @@
                random);
   log_->mark_base_unsaved();
   installed_ = wire::RecordSnapshot();
-  note(logging::event::record_group_founded, fmt::format("{}", self_id_));
+  log_event(logging::event::record_group_founded, fmt::format("{}", self_id_));
 }
 
 void record_node::receive(wire::Envelope envelope) {
@@ -85,11 +86,12 @@
 
 void record_node::learn_members(const wire::RecordMembers &members) {
   for (const wire::RecordMember &each : members.members()) {
-    learn(each, timestamp{});
+    learn_member(each, timestamp{});
   }
 }
 
-void record_node::learn(const wire::RecordMember &record, timestamp now) {
+void record_node::learn_member(const wire::RecordMember &record,
+                               timestamp now) {
   const replica_id id = from_wire(record.replica());
   if (id == self_id_ || log_->is_dead(id)) {
     return;
@@ -107,7 +109,7 @@
   known->second.heard = std::max(known->second.heard, now);
 }
 
-void record_node::note_heard(const replica_id &from, timestamp now) {
+void record_node::update_last_heard(const replica_id &from, timestamp now) {
   const auto known = members_.find(from);
   if (known != members_.end()) {
     known->second.heard = now;
@@ -122,18 +124,18 @@
   for (wire::Envelope &envelope : taken) {
     reduce(envelope, now, random, out);
   }
-  detect_dead(now);
+  detect_dead_replicas(now);
   log_->tick(now, random, out);
-  reserve_quotas(now);
+  propose_quota_reservations(now);
   propose_batch(now, wall_ms, out);
   if (log_->is_leader() && was_leader_) {
-    forget_gone(now);
-    desk_.forget_idle(now);
-    maintain(now, out);
+    forget_lost_members(now);
+    permits_.forget_idle(now);
+    maintain_membership(now, out);
   }
-  say_hello(now);
+  send_hello(now);
   record_effects effects;
-  flush(out, effects);
+  queue_messages(out, effects);
   if (log_->is_leader()) {
     send_snapshot(now);
   }
@@ -151,9 +153,9 @@
   for (const wire::LogEntry &entry :
        log_->take_committed(options_.entries_per_step)) {
     if (entry.has_replicas()) {
-      note(logging::event::replica_set_changed,
-           fmt::format("index {} voters {}", entry.index(),
-                       entry.replicas().voters_size()));
+      log_event(logging::event::replica_set_changed,
+                fmt::format("index {} voters {}", entry.index(),
+                            entry.replicas().voters_size()));
     }
     applied_term_ = term_id{entry.term()};
     if (!entry.has_command()) {
@@ -164,11 +166,11 @@
     if (!own) {
       quota_clock_.follow(table_.quota_time(), now);
     }
-    answer(entry.index(), outcomes, now, effects);
+    send_outcomes(entry.index(), outcomes, now, effects);
   }
   effects.kept = table_.take_kept();
   effects.dropped = table_.take_dropped();
-  follow_leadership(now);
+  update_leadership(now);
   send_permits(now, effects);
   members_[self_id_].heard = now;
   effects.messages.insert(effects.messages.end(),
@@ -191,7 +193,7 @@
   if (for_another) {
     return; // for the identity that this node had on a disk that is lost
   }
-  note_heard(from, now);
+  update_last_heard(from, now);
   switch (envelope.body_case()) {
   case wire::Envelope::kRecordRequest:
     on_request(envelope.record_request(), now);
@@ -200,10 +202,10 @@
     on_hello(envelope.record_hello(), now);
     break;
   case wire::Envelope::kRecordMembers:
-    take_told_leader(envelope.record_members().leader_address(),
-                     address_of(from), now);
+    on_leader_hint(envelope.record_members().leader_address(), address_of(from),
+                   now);
     for (const auto &each : envelope.record_members().members()) {
-      learn(each, timestamp{});
+      learn_member(each, timestamp{});
     }
     break;
   case wire::Envelope::kVoteRequest:
@@ -252,18 +254,18 @@
 
 void record_node::on_request(const wire::RecordRequest &request,
                              timestamp now) {
-  const wire::SeenRevisions &told = request.seen();
+  const wire::SeenRevisions &reported = request.seen();
   seen_.set_configuration(
-      std::max(seen_.configuration(), told.configuration()));
-  seen_.set_instances(std::max(seen_.instances(), told.instances()));
-  seen_.set_zone_drains(std::max(seen_.zone_drains(), told.zone_drains()));
+      std::max(seen_.configuration(), reported.configuration()));
+  seen_.set_instances(std::max(seen_.instances(), reported.instances()));
+  seen_.set_zone_drains(std::max(seen_.zone_drains(), reported.zone_drains()));
   if (!log_->is_leader()) {
     refuse(request, now);
     return;
   }
   if (request.has_loads()) {
     loads_.tell(request.reply_to(), request.loads(), now);
-    owed_loads_.insert(request.reply_to());
+    pending_load_replies_.insert(request.reply_to());
   }
   if (request.items().empty() && log_->in_contact(now)) {
     answer_probe(request);
@@ -273,51 +275,54 @@
   // What was asked again after its answer had left, or can be told at once.
   // Recorded anew it would cost an entry with all that the question holds: a
   // group that answered late had three times the entries to replicate.
-  wire::RecordReply settled;
+  wire::RecordReply decided;
   for (const wire::RecordRequestItem &item : request.items()) {
     if (item.change().has_reserve_quota()) {
       continue; // for leaders alone to propose
     }
-    if (!take_up(request.reply_to(), item.id())) {
+    if (!register_request(request.reply_to(), item.id())) {
       continue;
     }
     if (item.change().has_take_permit()) {
-      desk_.ask({.reply_to = request.reply_to(),
-                 .id = item.id(),
-                 .members_hash = request.members_hash(),
-                 .wanted = item.change().take_permit()},
-                quota_clock_.read(now), now);
+      permits_.ask({.reply_to = request.reply_to(),
+                    .id = item.id(),
+                    .members_hash = request.members_hash(),
+                    .wanted = item.change().take_permit()},
+                   quota_clock_.read(now), now);
       continue;
     }
     if (auto known = table_.decided_outcome(item.change())) {
-      taken_up_.erase(question_hash(request.reply_to(), item.id()));
+      pending_requests_.erase(request_hash(request.reply_to(), item.id()));
       ++request_counts_.settled;
       known->set_id(item.id());
-      *settled.add_items() = std::move(*known);
+      *decided.add_items() = std::move(*known);
       continue;
     }
-    proposals_.emplace_back(asker{.reply_to = request.reply_to(),
-                                  .id = item.id(),
-                                  .members_hash = request.members_hash()},
-                            item.change());
+    proposals_.emplace_back(
+        request_origin{.reply_to = request.reply_to(),
+                       .id = item.id(),
+                       .members_hash = request.members_hash()},
+        item.change());
   }
-  if (settled.items_size() > 0) {
-    reply_to(request.reply_to(), request.members_hash(), std::move(settled),
-             now);
+  if (decided.items_size() > 0) {
+    send_reply(request.reply_to(), request.members_hash(), std::move(decided),
+               now);
   }
 }
 
-void record_node::reply_to(const std::string &address,
-                           std::uint64_t known_members, wire::RecordReply reply,
-                           timestamp now) {
-  complete(reply, address, known_members, now);
+void record_node::send_reply(const std::string &address,
+                             std::uint64_t known_members,
+                             wire::RecordReply reply, timestamp now) {
+  add_common_fields(reply, address, known_members, now);
   wire::Envelope envelope;
   *envelope.mutable_record_reply() = std::move(reply);
   send(address, std::move(envelope));
 }
 
-bool record_node::take_up(const std::string &reply_to, std::uint64_t id) {
-  const bool fresh = taken_up_.insert(question_hash(reply_to, id)).second;
+bool record_node::register_request(const std::string &reply_to,
+                                   std::uint64_t id) {
+  const bool fresh =
+      pending_requests_.insert(request_hash(reply_to, id)).second;
   ++(fresh ? request_counts_.taken : request_counts_.repeated);
   return fresh;
 }
@@ -330,8 +335,8 @@
   // Most nodes of a large fleet have no part in this partition. What the leader
   // told them saves a gateway from asking one node after the other.
   const std::string known = leader_address();
-  reply.set_leader_address(known.empty() && told_lately(now) ? told_leader_
-                                                             : known);
+  reply.set_leader_address(known.empty() && has_leader_hint(now) ? leader_hint_
+                                                                 : known);
   for (const wire::RecordRequestItem &item : request.items()) {
     reply.add_refused(item.id());
   }
@@ -351,7 +356,7 @@
 }
 
 void record_node::on_hello(const wire::RecordHello &hello, timestamp now) {
-  learn(hello.self(), now);
+  learn_member(hello.self(), now);
   wire::Envelope envelope;
   wire::RecordMembers &answer = *envelope.mutable_record_members();
   const wire::RecordMembers known = members();
@@ -379,8 +384,8 @@
       installed_ = receiver_.take();
       table_.restore(*installed_);
       quota_clock_.follow(table_.quota_time(), now);
-      note(logging::event::record_snapshot_installed,
-           fmt::format("index {}", part.last_index()));
+      log_event(logging::event::record_snapshot_installed,
+                fmt::format("index {}", part.last_index()));
     }
   }
   wire::Envelope envelope;
@@ -388,7 +393,8 @@
   progress.set_term(part.term());
   *progress.mutable_follower() = to_wire(self_id_);
   progress.set_last_index(part.last_index());
-  progress.set_next_part(held || complete ? no_part : receiver_.next_part());
+  progress.set_next_part(held || complete ? no_more_parts
+                                          : receiver_.next_part());
   send(address_of(leader), std::move(envelope));
 }
 
@@ -415,8 +421,9 @@
   }
   if (due->begins) {
     log_->snapshot_progressed(due->to, due->request.last_index(), now);
-    note(logging::event::snapshot_sent,
-         fmt::format("to {} index {}", due->to, due->request.last_index()));
+    log_event(
+        logging::event::snapshot_sent,
+        fmt::format("to {} index {}", due->to, due->request.last_index()));
   }
   wire::Envelope envelope;
   *envelope.mutable_snapshot_request() = std::move(due->request);
@@ -427,54 +434,54 @@
 void record_node::propose_batch(timestamp now, std::uint64_t wall_ms,
                                 raft::outbox &out) {
   if (!log_->is_leader()) {
-    pass_on_proposals(now);
+    redirect_proposals(now);
     return;
   }
-  const bool joins = now < proposed_ + options_.batch_interval;
-  if (proposals_.empty() || joins || !successors_.empty()) {
+  const bool batching = now < proposed_ + options_.batch_interval;
+  if (proposals_.empty() || batching || !transfer_targets_.empty()) {
     return;
   }
   proposed_ = now;
   wire::Command command;
   wire::RecordBatch &batch = *command.mutable_record_batch();
   batch.set_time_ms(wall_ms);
-  if (knows_quotas()) {
+  if (has_current_quotas()) {
     batch.set_quota_time_ms(quota_clock_.read(now));
   }
-  std::vector<asker> who;
-  for (auto &[asked_by, change] : proposals_) {
+  std::vector<request_origin> origins;
+  for (auto &[origin, change] : proposals_) {
     *batch.add_changes() = std::move(change);
-    who.push_back(std::move(asked_by));
+    origins.push_back(std::move(origin));
   }
   proposals_.clear();
   const auto index = log_->propose(std::move(command), now, out);
   if (index) {
-    askers_[index.value().value()] = std::move(who);
+    requesters_[index.value().value()] = std::move(origins);
   }
 }
 
-bool record_node::knows_quotas() const {
+bool record_node::has_current_quotas() const {
   return log_->is_leader() && applied_term_ == log_->term();
 }
 
-void record_node::reserve_quotas(timestamp now) {
-  if (!knows_quotas()) {
+void record_node::propose_quota_reservations(timestamp now) {
+  if (!has_current_quotas()) {
     return;
   }
-  if (desk_term_ != log_->term()) {
-    clear_desk(now); // elected anew before the loss was noticed
+  if (permits_term_ != log_->term()) {
+    clear_permit_requests(now); // elected anew before the loss was noticed
   }
-  for (wire::ReserveQuota &wanted : desk_.due(now)) {
+  for (wire::ReserveQuota &wanted : permits_.due(now)) {
     wire::RecordChange change;
     *change.mutable_reserve_quota() = std::move(wanted);
-    proposals_.emplace_back(asker{}, std::move(change));
+    proposals_.emplace_back(request_origin{}, std::move(change));
   }
 }
 
-void record_node::clear_desk(timestamp now) {
-  desk_term_ = log_->term();
-  for (const permit_question &each : desk_.clear()) {
-    taken_up_.erase(question_hash(each.reply_to, each.id));
+void record_node::clear_permit_requests(timestamp now) {
+  permits_term_ = log_->term();
+  for (const permit_question &each : permits_.clear()) {
+    pending_requests_.erase(request_hash(each.reply_to, each.id));
     wire::RecordRequest refused;
     refused.set_reply_to(each.reply_to);
     refused.set_members_hash(each.members_hash);
@@ -490,17 +497,18 @@
 
 void record_node::send_permits(timestamp now, record_effects &effects) {
   std::map<std::string, std::pair<wire::RecordReply, std::uint64_t>> replies;
-  for (permit_reply &each : desk_.take_replies()) {
+  for (permit_reply &each : permits_.take_replies()) {
     auto &[reply, known_members] = replies[each.question.reply_to];
     known_members = each.question.members_hash;
     wire::RecordReplyItem &item = *reply.add_items();
     item.set_id(each.question.id);
     item.set_verdict(wire::RECORD_DONE);
     *item.mutable_permit() = std::move(each.answer);
-    taken_up_.erase(question_hash(each.question.reply_to, each.question.id));
+    pending_requests_.erase(
+        request_hash(each.question.reply_to, each.question.id));
   }
   for (auto &[address, entry] : replies) {
-    complete(entry.first, address, entry.second, now);
+    add_common_fields(entry.first, address, entry.second, now);
     wire::Envelope envelope;
     *envelope.mutable_record_reply() = std::move(entry.first);
     envelope.set_from(self_id_.node.value());
@@ -509,34 +517,36 @@
   }
 }
 
-void record_node::complete(wire::RecordReply &reply, const std::string &address,
-                           std::uint64_t known_members, timestamp now) {
+void record_node::add_common_fields(wire::RecordReply &reply,
+                                    const std::string &address,
+                                    std::uint64_t known_members,
+                                    timestamp now) {
   reply.set_leader_address(self_.address());
   *reply.mutable_seen() = seen_;
   const wire::RecordMembers known = members();
   if (known_members != hash_of(known)) {
     *reply.mutable_members() = known;
   }
-  if (owed_loads_.erase(address) > 0) {
+  if (pending_load_replies_.erase(address) > 0) {
     *reply.mutable_loads() = loads_.others(address, now);
   }
 }
 
-void record_node::pass_on_proposals(timestamp now) {
+void record_node::redirect_proposals(timestamp now) {
   if (leader_address().empty()) {
     return; // told when there is somebody to ask
   }
-  std::map<std::string, wire::RecordRequest> by_asker;
-  for (const auto &[asked_by, change] : proposals_) {
+  std::map<std::string, wire::RecordRequest> by_origin;
+  for (const auto &[origin, change] : proposals_) {
     if (change.has_reserve_quota()) {
       continue; // this node's own
     }
-    wire::RecordRequest &request = by_asker[asked_by.reply_to];
-    request.set_reply_to(asked_by.reply_to);
-    request.set_members_hash(asked_by.members_hash);
-    request.add_items()->set_id(asked_by.id);
+    wire::RecordRequest &request = by_origin[origin.reply_to];
+    request.set_reply_to(origin.reply_to);
+    request.set_members_hash(origin.members_hash);
+    request.add_items()->set_id(origin.id);
   }
-  for (const auto &[address, request] : by_asker) {
+  for (const auto &[address, request] : by_origin) {
     refuse(request, now);
   }
   proposals_.clear();
@@ -544,39 +554,39 @@
 
 std::optional<timestamp> record_node::batch_due() const {
   const bool waits =
-      proposals_.empty() || !log_->is_leader() || !successors_.empty();
+      proposals_.empty() || !log_->is_leader() || !transfer_targets_.empty();
   return waits ? std::nullopt
                : std::optional(proposed_ + options_.batch_interval);
 }
 
-void record_node::answer(std::uint64_t index,
-                         const std::vector<wire::RecordReplyItem> &outcomes,
-                         timestamp now, record_effects &effects) {
-  const auto found = askers_.find(index);
-  if (found == askers_.end()) {
+void record_node::send_outcomes(
+    std::uint64_t index, const std::vector<wire::RecordReplyItem> &outcomes,
+    timestamp now, record_effects &effects) {
+  const auto found = requesters_.find(index);
+  if (found == requesters_.end()) {
     return;
   }
   std::map<std::string, std::pair<wire::RecordReply, std::uint64_t>> replies;
   for (std::size_t place = 0; place < found->second.size(); ++place) {
-    const asker &who = found->second[place];
+    const request_origin &origin = found->second[place];
     if (outcomes.at(place).has_reserved_quota()) {
-      if (applied_term_ == desk_term_) {
-        desk_.on_reserved(outcomes.at(place).reserved_quota(),
-                          quota_clock_.read(now), now);
+      if (applied_term_ == permits_term_) {
+        permits_.on_reserved(outcomes.at(place).reserved_quota(),
+                             quota_clock_.read(now), now);
       }
       continue;
     }
-    auto &[reply, known_hash] = replies[who.reply_to];
-    known_hash = who.members_hash;
+    auto &[reply, known_hash] = replies[origin.reply_to];
+    known_hash = origin.members_hash;
     wire::RecordReplyItem &item = *reply.add_items();
     item = outcomes.at(place);
-    item.set_id(who.id);
-    taken_up_.erase(question_hash(who.reply_to, who.id));
+    item.set_id(origin.id);
+    pending_requests_.erase(request_hash(origin.reply_to, origin.id));
   }
-  askers_.erase(found);
+  requesters_.erase(found);
   for (auto &[address, entry] : replies) {
     auto &[reply, known_hash] = entry;
-    complete(reply, address, known_hash, now);
+    add_common_fields(reply, address, known_hash, now);
     wire::Envelope envelope;
     *envelope.mutable_record_reply() = std::move(reply);
     envelope.set_from(self_id_.node.value());
@@ -585,44 +595,44 @@
   }
 }
 
-void record_node::follow_leadership(timestamp now) {
+void record_node::update_leadership(timestamp now) {
   const bool leads = log_->is_leader();
   if (leads == was_leader_) {
     return;
   }
   was_leader_ = leads;
-  note(leads ? logging::event::record_leadership_gained
-             : logging::event::record_leadership_lost,
-       fmt::format("term {} commit {} last {}", log_->term(),
-                   log_->commit_index(), log_->last_index()));
+  log_event(leads ? logging::event::record_leadership_gained
+                  : logging::event::record_leadership_lost,
+            fmt::format("term {} commit {} last {}", log_->term(),
+                        log_->commit_index(), log_->last_index()));
   if (leads) {
     leading_since_ = now;
-    clear_desk(now);
+    clear_permit_requests(now);
   } else {
-    askers_.clear();
-    taken_up_.clear();
-    clear_desk(now);
-    successors_.clear();
+    requesters_.clear();
+    pending_requests_.clear();
+    clear_permit_requests(now);
+    transfer_targets_.clear();
     sender_.clear();
-    owed_loads_.clear();
+    pending_load_replies_.clear();
   }
   learners_.clear();
 }
 
-void record_node::say_hello(timestamp now) {
-  const bool served = log_->is_leader() || now < leader_heard_ + lost_after;
+void record_node::send_hello(timestamp now) {
+  const bool served = log_->is_leader() || now < leader_heard_ + leader_timeout;
   if (served || now < next_hello_) {
     return;
   }
-  const bool told = told_lately(now);
+  const bool has_hint = has_leader_hint(now);
   next_hello_ =
-      now + (told ? options_.idle_hello_interval : options_.hello_interval);
+      now + (has_hint ? options_.idle_hello_interval : options_.hello_interval);
   wire::RecordHello hello;
   *hello.mutable_self() = self_;
   hello.set_members_hash(hash_of(members()));
   for (const auto &[id, known] : members_) {
     const std::string &address = known.record.address();
-    if (id != self_id_ && (!told || address == told_leader_)) {
+    if (id != self_id_ && (!has_hint || address == leader_hint_)) {
       wire::Envelope envelope;
       *envelope.mutable_record_hello() = hello;
       send(address, std::move(envelope));
@@ -631,25 +641,27 @@
 }
 
 bool record_node::knows_leader(timestamp now) const {
-  return log_->is_leader() || log_->leader().has_value() || told_lately(now);
+  return log_->is_leader() || log_->leader().has_value() ||
+         has_leader_hint(now);
 }
 
-void record_node::take_told_leader(const std::string &leader,
-                                   const std::string &told_by, timestamp now) {
+void record_node::on_leader_hint(const std::string &leader,
+                                 const std::string &reported_by,
+                                 timestamp now) {
   // Most nodes that are asked have no part and know nobody. That says nothing,
   // unless it is the one that was taken for the leader.
-  const bool says_something = !leader.empty() || told_by == told_leader_;
+  const bool says_something = !leader.empty() || reported_by == leader_hint_;
   if (says_something) {
-    told_leader_ = leader;
-    leader_told_ = now;
+    leader_hint_ = leader;
+    leader_hint_at_ = now;
   }
 }
 
-bool record_node::told_lately(timestamp now) const {
-  return !told_leader_.empty() && now < leader_told_ + told_for;
+bool record_node::has_leader_hint(timestamp now) const {
+  return !leader_hint_.empty() && now < leader_hint_at_ + leader_hint_lifetime;
 }
 
-bool record_node::may_vote(const replica_id &learner) const {
+bool record_node::may_become_voter(const replica_id &learner) const {
   const std::vector<replica_id> &voters = log_->voters();
   const bool succeeds_dead =
       std::ranges::any_of(voters, [this, &learner](const replica_id &voter) {
@@ -662,7 +674,7 @@
   return log_->caught_up(learner) || (succeeds_dead && holds_state);
 }
 
-std::vector<node_view> record_node::view(timestamp now) const {
+std::vector<node_view> record_node::node_views(timestamp now) const {
   std::vector<node_view> nodes;
   const std::map<node_id, std::uint64_t> preferred = preferences();
   for (const auto &[id, known] : members_) {
@@ -681,7 +693,7 @@
              is_self || (!unheard && now < heard + options_.liveness_timeout),
          .long_silent = !is_self && now >= since + options_.replace_after,
          .dead = log_->is_dead(id),
-         .caught_up = log_->is_learner(id) && may_vote(id),
+         .caught_up = log_->is_learner(id) && may_become_voter(id),
          .lagging = !is_self && log_->is_voter(id) && !log_->caught_up(id),
          .retiring = retiring_.contains(known.record.name())});
   }
@@ -698,7 +710,7 @@
   return nodes;
 }
 
-void record_node::maintain(timestamp now, raft::outbox &out) {
+void record_node::maintain_membership(timestamp now, raft::outbox &out) {
   std::erase_if(learners_, [&](const replica_id &learner) {
     const auto known = members_.find(learner);
     const bool silent = known == members_.end() ||
@@ -711,20 +723,20 @@
     return gone || log_->is_voter(learner);
   });
   if (log_->change_in_progress()) {
-    go_on_handing_over(now, out);
+    continue_transfer(now, out);
     return;
   }
   const bool recruits = now >= leading_since_ + options_.recruit_after;
-  const auto change =
-      next_membership_change(view(now), learners_, options_.size, recruits);
+  const auto change = next_membership_change(node_views(now), learners_,
+                                             options_.size, recruits);
   const bool begins_copy =
       change && std::holds_alternative<add_learner>(*change);
-  if (change && !(begins_copy && may_yield_first(now))) {
-    carry_out(*change, now, out);
+  if (change && !(begins_copy && may_transfer_soon(now))) {
+    apply_change(*change, now, out);
   } else {
-    yield_lead(now);
+    transfer_to_preferred_voter(now);
   }
-  go_on_handing_over(now, out);
+  continue_transfer(now, out);
 }
 
 std::map<node_id, std::uint64_t> record_node::preferences() const {
@@ -744,7 +756,7 @@
 }
 
 std::optional<replica_id> record_node::preferred_voter(timestamp now) const {
-  const std::vector<node_view> nodes = view(now);
+  const std::vector<node_view> nodes = node_views(now);
   const node_view *preferred = nullptr;
   for (const node_view &each : nodes) {
     const bool fits = each.votes && each.alive && !each.retiring && !each.dead;
@@ -758,69 +770,68 @@
                               : std::optional(preferred->replica);
 }
 
-bool record_node::may_yield_first(timestamp now) const {
+bool record_node::may_transfer_soon(timestamp now) const {
   // Begun before, the copy of the state would be begun anew by the next leader.
   // And a node that came to lead three partitions would copy all three: that
   // took it 14 s and more, where each takes 4 to 6 s from a leader of its own.
   const timestamp settled = leading_since_ + options_.transfer_delay +
-                            hand_over_limit + options_.raft.heartbeat_interval;
+                            transfer_timeout + options_.raft.heartbeat_interval;
   return options_.partitions > 1 && !log_->was_handed_the_lead() &&
          now < settled && preferred_voter(now) != self_id_;
 }
 
-void record_node::yield_lead(timestamp now) {
+void record_node::transfer_to_preferred_voter(timestamp now) {
   const duration_ms kept = log_->was_handed_the_lead()
                                ? options_.keep_received_leadership
                                : options_.transfer_delay;
   const bool due = options_.partitions > 1 && log_->established() &&
-                   now >= leading_since_ + kept && now >= next_yield_;
-  if (!due || fills_a_node(now)) {
+                   now >= leading_since_ + kept && now >= next_transfer_;
+  if (!due || has_incomplete_replica(now)) {
     return;
   }
-  next_yield_ = now + options_.transfer_delay;
+  next_transfer_ = now + options_.transfer_delay;
   const std::optional<replica_id> preferred = preferred_voter(now);
   if (preferred && *preferred != self_id_) {
-    begin_hand_over({*preferred}, now);
+    begin_transfer({*preferred}, now);
   }
 }
 
-bool record_node::fills_a_node(timestamp now) const {
+bool record_node::has_incomplete_replica(timestamp now) const {
   // The next leader would begin the copy of the state anew, and may have
   // dropped what a voter that lags needs.
-  const std::vector<node_view> nodes = view(now);
+  const std::vector<node_view> nodes = node_views(now);
   return !learners_.empty() ||
          std::ranges::any_of(nodes, [](const node_view &each) {
            return each.votes && each.alive && each.lagging;
          });
 }
 
-void record_node::begin_hand_over(std::set<replica_id> eligible,
-                                  timestamp now) {
-  if (successors_.empty()) {
-    successors_ = std::move(eligible);
-    successor_told_ = false;
-    hand_over_ends_ = now + hand_over_limit;
+void record_node::begin_transfer(std::set<replica_id> eligible, timestamp now) {
+  if (transfer_targets_.empty()) {
+    transfer_targets_ = std::move(eligible);
+    transfer_requested_ = false;
+    transfer_deadline_ = now + transfer_timeout;
   }
 }
 
-void record_node::go_on_handing_over(timestamp now, raft::outbox &out) {
-  if (successors_.empty()) {
+void record_node::continue_transfer(timestamp now, raft::outbox &out) {
+  if (transfer_targets_.empty()) {
     return;
   }
-  if (now >= hand_over_ends_) {
-    successors_.clear(); // goes on leading
+  if (now >= transfer_deadline_) {
+    transfer_targets_.clear(); // goes on leading
     return;
   }
   // With everything committed, nobody who asked is left without an answer. What
   // this node proposed after telling the successor would keep others from
   // voting for him, so it waits on.
   const bool all_committed = log_->commit_index() == log_->last_index();
-  if (!successor_told_ && all_committed) {
-    successor_told_ = log_->transfer_leadership(successors_, out);
+  if (!transfer_requested_ && all_committed) {
+    transfer_requested_ = log_->transfer_leadership(transfer_targets_, out);
   }
 }
 
-void record_node::detect_dead(timestamp now) {
+void record_node::detect_dead_replicas(timestamp now) {
   const auto has_successor = [this, now](const replica_id &id) {
     return std::ranges::any_of(members_, [id, now](const auto &entry) {
       const auto &[other, state] = entry;
@@ -853,32 +864,32 @@
   return known == members_.end() ? started_ : known->second.heard;
 }
 
-void record_node::carry_out(const membership_change &change, timestamp now,
-                            raft::outbox &out) {
+void record_node::apply_change(const membership_change &change, timestamp now,
+                               raft::outbox &out) {
   std::vector<replica_id> voters = log_->voters();
   if (const auto *learner = std::get_if<add_learner>(&change)) {
     learners_.push_back(learner->replica);
     log_->add_learner(learner->replica, now, out);
-    note(logging::event::record_member_added,
-         fmt::format("learner {}", learner->replica));
+    log_event(logging::event::record_member_added,
+              fmt::format("learner {}", learner->replica));
     return;
   }
   if (const auto *surplus = std::get_if<release_learner>(&change)) {
     std::erase(learners_, surplus->replica);
     log_->drop_learner(surplus->replica);
     sender_.cancel(surplus->replica);
-    note(logging::event::record_member_removed,
-         fmt::format("learner {}", surplus->replica));
+    log_event(logging::event::record_member_removed,
+              fmt::format("learner {}", surplus->replica));
     return;
   }
   if (std::holds_alternative<resign_leadership>(change)) {
     std::set<replica_id> eligible;
-    for (const node_view &each : view(now)) {
+    for (const node_view &each : node_views(now)) {
       if (each.votes && each.alive && !each.retiring && !each.is_self) {
         eligible.insert(each.replica);
       }
     }
-    begin_hand_over(std::move(eligible), now);
+    begin_transfer(std::move(eligible), now);
     return;
   }
   logging::event number = logging::event::record_member_added;
@@ -897,7 +908,7 @@
     detail = fmt::format("voter {} by {}", replaced->dead, replaced->successor);
   }
   if (!log_->change_replicas(voters, now, out)) {
-    note(number, std::move(detail));
+    log_event(number, std::move(detail));
   }
 }
 
@@ -908,7 +919,7 @@
   }
   const bool knows_nodes = now >= leading_since_ + options_.recruit_after;
   const bool whole = log_->established() && knows_nodes &&
-                     tolerates_losses(view(now), options_.size);
+                     tolerates_losses(node_views(now), options_.size);
   if (!whole) {
     return names;
   }
@@ -925,7 +936,7 @@
   return names;
 }
 
-void record_node::flush(raft::outbox &out, record_effects &effects) {
+void record_node::queue_messages(raft::outbox &out, record_effects &effects) {
   for (raft::outgoing &message : out.messages) {
     message.envelope.set_from(self_id_.node.value());
     message.envelope.set_from_boot(self_id_.boot.value());
@@ -970,7 +981,7 @@
   return all;
 }
 
-void record_node::forget_gone(timestamp now) {
+void record_node::forget_lost_members(timestamp now) {
   const bool settled = now >= leading_since_ + forget_after;
   if (!settled) {
     return; // a new leader has not heard of everybody yet
@@ -993,7 +1004,7 @@
   outgoing_.push_back({std::move(address), std::move(envelope)});
 }
 
-void record_node::note(logging::event number, std::string detail) {
+void record_node::log_event(logging::event number, std::string detail) {
   events_.push_back({number, std::move(detail)});
 }
 
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -177,7 +177,7 @@
     timestamp heard{};
   };
   /// Who asked for a change that is in the log.
-  struct asker {
+  struct request_origin {
     std::string reply_to;
     std::uint64_t id = 0;
     std::uint64_t members_hash = 0;
@@ -188,7 +188,7 @@
   void on_request(const wire::RecordRequest &request, timestamp now);
   /// @return false when the question is being answered already: whoever asks
   /// again is only impatient.
-  bool take_up(const std::string &reply_to, std::uint64_t id);
+  bool register_request(const std::string &reply_to, std::uint64_t id);
   void on_hello(const wire::RecordHello &hello, timestamp now);
   void on_snapshot(wire::SnapshotRequest &part, timestamp now,
                    std::uint64_t random, raft::outbox &out);
@@ -196,74 +196,74 @@
                             timestamp now);
   /// Sends the part of a snapshot that is due, if any.
   void send_snapshot(timestamp now);
-  void note_heard(const replica_id &from, timestamp now);
-  void learn(const wire::RecordMember &record, timestamp now);
+  void update_last_heard(const replica_id &from, timestamp now);
+  void learn_member(const wire::RecordMember &record, timestamp now);
   void propose_batch(timestamp now, std::uint64_t wall_ms, raft::outbox &out);
   /// Asks the partition for the permits that the desk wants to give.
-  void reserve_quotas(timestamp now);
+  void propose_quota_reservations(timestamp now);
   /// True once this leader has applied every entry of earlier terms: only then
   /// it knows what is out, and the partition's time.
-  [[nodiscard]] bool knows_quotas() const;
+  [[nodiscard]] bool has_current_quotas() const;
   /// Empties the desk: what it has is another term's. Questions that wait are
   /// refused, and what it wanted and has not been proposed is dropped.
-  void clear_desk(timestamp now);
+  void clear_permit_requests(timestamp now);
   /// Sends what the desk has decided.
   void send_permits(timestamp now, record_effects &effects);
   void refuse(const wire::RecordRequest &request, timestamp now);
   /// Takes in whom another node takes for the leader; empty for nobody.
-  void take_told_leader(const std::string &leader, const std::string &told_by,
-                        timestamp now);
+  void on_leader_hint(const std::string &leader, const std::string &reported_by,
+                      timestamp now);
   /// True when another node has named a leader a short while ago.
-  [[nodiscard]] bool told_lately(timestamp now) const;
+  [[nodiscard]] bool has_leader_hint(timestamp now) const;
   /// A request without items asks whether this node is reached.
   void answer_probe(const wire::RecordRequest &request);
-  void say_hello(timestamp now);
-  void maintain(timestamp now, raft::outbox &out);
-  void carry_out(const membership_change &change, timestamp now,
-                 raft::outbox &out);
+  void send_hello(timestamp now);
+  void maintain_membership(timestamp now, raft::outbox &out);
+  void apply_change(const membership_change &change, timestamp now,
+                    raft::outbox &out);
   /// Whether a learner may take a voter's place.
-  [[nodiscard]] bool may_vote(const replica_id &learner) const;
-  [[nodiscard]] std::vector<node_view> view(timestamp now) const;
+  [[nodiscard]] bool may_become_voter(const replica_id &learner) const;
+  [[nodiscard]] std::vector<node_view> node_views(timestamp now) const;
   /// How much this partition prefers each node: the nodes in order of their
   /// ids, beginning where this partition's share of them begins.
   [[nodiscard]] std::map<node_id, std::uint64_t> preferences() const;
   /// Of the voters that are there the one that this partition prefers.
   [[nodiscard]] std::optional<replica_id> preferred_voter(timestamp now) const;
   /// Hands the lead to the voter that this partition prefers.
-  void yield_lead(timestamp now);
+  void transfer_to_preferred_voter(timestamp now);
   /// True while a new leader may soon hand the lead over, so that it had better
   /// begin no copy of the state.
-  [[nodiscard]] bool may_yield_first(timestamp now) const;
+  [[nodiscard]] bool may_transfer_soon(timestamp now) const;
   /// True while a node is sent what it lacks.
-  [[nodiscard]] bool fills_a_node(timestamp now) const;
+  [[nodiscard]] bool has_incomplete_replica(timestamp now) const;
   /// Begins to hand the lead over: nothing is proposed until the others hold
   /// everything and one of `eligible` can be told to stand for election.
-  void begin_hand_over(std::set<replica_id> eligible, timestamp now);
-  void go_on_handing_over(timestamp now, raft::outbox &out);
+  void begin_transfer(std::set<replica_id> eligible, timestamp now);
+  void continue_transfer(timestamp now, raft::outbox &out);
   /// Tells those whose questions wait here who leads now.
-  void pass_on_proposals(timestamp now);
-  void flush(raft::outbox &out, record_effects &effects);
-  void answer(std::uint64_t index,
-              const std::vector<wire::RecordReplyItem> &outcomes, timestamp now,
-              record_effects &effects);
+  void redirect_proposals(timestamp now);
+  void queue_messages(raft::outbox &out, record_effects &effects);
+  void send_outcomes(std::uint64_t index,
+                     const std::vector<wire::RecordReplyItem> &outcomes,
+                     timestamp now, record_effects &effects);
   /// Sends an answer that needs no entry of the log.
-  void reply_to(const std::string &address, std::uint64_t known_members,
-                wire::RecordReply reply, timestamp now);
+  void send_reply(const std::string &address, std::uint64_t known_members,
+                  wire::RecordReply reply, timestamp now);
   /// Adds to an answer what every answer to this address carries.
-  void complete(wire::RecordReply &reply, const std::string &address,
-                std::uint64_t known_members, timestamp now);
-  void follow_leadership(timestamp now);
+  void add_common_fields(wire::RecordReply &reply, const std::string &address,
+                         std::uint64_t known_members, timestamp now);
+  void update_leadership(timestamp now);
   /// Declares identities dead whose node speaks under another one.
-  void detect_dead(timestamp now);
+  void detect_dead_replicas(timestamp now);
   /// When an identity was last heard; of one that is in the log's voters only,
   /// since before this process began.
   [[nodiscard]] timestamp last_heard(const replica_id &id) const;
   /// Drops members that are gone for good, so that nobody asks them any more.
-  void forget_gone(timestamp now);
+  void forget_lost_members(timestamp now);
   [[nodiscard]] std::string address_of(const replica_id &replica) const;
   [[nodiscard]] std::string leader_address() const;
   void send(std::string address, wire::Envelope envelope);
-  void note(logging::event number, std::string detail);
+  void log_event(logging::event number, std::string detail);
 
   wire::RecordMember self_;
   replica_id self_id_;
@@ -275,20 +275,21 @@
   std::set<std::string> retiring_;
   wire::SeenRevisions seen_;
   load_board loads_;
-  permit_desk desk_;
+  permit_desk permits_;
   /// The term in which the desk was last empty.
-  term_id desk_term_{};
+  term_id permits_term_{};
   quota_clock quota_clock_;
   /// Of the last entry that was applied.
   term_id applied_term_{};
   /// Those that have told their loads and are to be told the others'.
-  std::set<std::string> owed_loads_;
+  std::set<std::string> pending_load_replies_;
 
   std::vector<wire::Envelope> inbox_;
-  std::vector<std::pair<asker, wire::RecordChange>> proposals_;
-  std::map<std::uint64_t, std::vector<asker>> askers_; // by log index
+  std::vector<std::pair<request_origin, wire::RecordChange>> proposals_;
+  std::map<std::uint64_t, std::vector<request_origin>>
+      requesters_; // by log index
   /// Hashes of the questions in the two above.
-  std::unordered_set<std::uint64_t> taken_up_;
+  std::unordered_set<std::uint64_t> pending_requests_;
   request_counts request_counts_;
   std::vector<addressed_message> outgoing_;
   std::vector<logged_event> events_;
@@ -303,14 +304,14 @@
   timestamp leader_heard_{};
   /// The leader's address as another node told it; of a node that the leader
   /// does not send to.
-  std::string told_leader_;
-  timestamp leader_told_{};
+  std::string leader_hint_;
+  timestamp leader_hint_at_{};
   timestamp leading_since_{};
-  timestamp next_yield_{};
+  timestamp next_transfer_{};
   /// To whom the lead is being handed, and until when that is tried.
-  std::set<replica_id> successors_;
-  bool successor_told_ = false;
-  timestamp hand_over_ends_{};
+  std::set<replica_id> transfer_targets_;
+  bool transfer_requested_ = false;
+  timestamp transfer_deadline_{};
   timestamp proposed_{};
 };
 
--- a/src/records/record_runtime.cpp
+++ b/src/records/record_runtime.cpp
@@ -28,10 +28,10 @@
 constexpr std::uint64_t snapshot_after_bytes = 8U << 20U;
 constexpr const char *cluster_name = "records";
 /// How long what another leader told of emptied machines counts.
-constexpr duration_ms told_for{1000};
+constexpr duration_ms report_lifetime{1000};
 /// What differs in a group of several partitions, whose nodes have small shares
 /// of a processor.
-record_node_options for_small_nodes(record_node_options options) {
+record_node_options small_node_options(record_node_options options) {
   // A turn waits up to this long twice; the messages between the nodes and the
   // writes are far fewer.
   options.batch_interval = duration_ms{25};
@@ -52,7 +52,7 @@
 }
 
 /// Ends the process where what it promises from here on might not be kept.
-void exit_unless_done(const result<void> &done) {
+void exit_on_failure(const result<void> &done) {
   if (!done) {
     logging::write(logging::event::record_storage_failed,
                    describe(done.error()));
@@ -101,17 +101,18 @@
     : io_(io) {
   options.partitions = static_cast<std::uint32_t>(disks.size());
   if (disks.size() > 1) {
-    options = for_small_nodes(options);
+    options = small_node_options(options);
   }
   for (partition_disk &each : disks) {
     options.partition = static_cast<std::uint32_t>(partitions_.size());
     auto node = std::make_unique<record_node>(self, std::move(each.recovered),
                                               options, steady_now(), random_());
-    partitions_.push_back({.disk = std::move(each.disk),
-                           .node = std::move(node),
-                           .told_emptied = {},
-                           .told_at = {},
-                           .joined = std::make_unique<asio::steady_timer>(io)});
+    partitions_.push_back(
+        {.disk = std::move(each.disk),
+         .node = std::move(node),
+         .reported_removable = {},
+         .reported_at = {},
+         .batch_timer = std::make_unique<asio::steady_timer>(io)});
   }
 }
 
@@ -174,20 +175,20 @@
 }
 
 std::set<std::string> record_runtime::removable_nodes() const {
-  std::map<std::string, std::size_t> empty_in;
+  std::map<std::string, std::size_t> removable_in;
   for (const partition &each : partitions_) {
     const bool leads = each.node->is_leader();
-    const bool fresh = steady_now() < each.told_at + told_for;
+    const bool fresh = steady_now() < each.reported_at + report_lifetime;
     const std::set<std::string> names =
         leads   ? each.node->removable_nodes(steady_now())
-        : fresh ? each.told_emptied
+        : fresh ? each.reported_removable
                 : std::set<std::string>();
     for (const std::string &name : names) {
-      ++empty_in[name];
+      ++removable_in[name];
     }
   }
   std::set<std::string> everywhere;
-  for (const auto &[name, count] : empty_in) {
+  for (const auto &[name, count] : removable_in) {
     if (count == partitions_.size()) {
       everywhere.insert(name);
     }
@@ -198,20 +199,20 @@
 void record_runtime::on_message(wire::Envelope envelope) {
   const std::scoped_lock lock(mutex_);
   arrived_.push_back(std::move(envelope));
-  if (!drain_posted_) {
-    drain_posted_ = true;
+  if (!processing_posted_) {
+    processing_posted_ = true;
     first_arrived_ = steady_now();
-    asio::post(io_, [this] { drain(); });
+    asio::post(io_, [this] { process_arrived(); });
   }
 }
 
-void record_runtime::drain() {
+void record_runtime::process_arrived() {
   std::vector<wire::Envelope> taken;
   timestamp oldest;
   {
     const std::scoped_lock lock(mutex_);
     taken.swap(arrived_);
-    drain_posted_ = false;
+    processing_posted_ = false;
     oldest = first_arrived_;
   }
   load_.on_queue(taken.size(), oldest, steady_now());
@@ -219,22 +220,22 @@
     load_.on_message(envelope);
     receive(std::move(envelope));
   }
-  for (const std::size_t number : std::exchange(touched_, {})) {
+  for (const std::size_t number : std::exchange(partitions_with_input_, {})) {
     step(number);
   }
 }
 
-void record_runtime::arm_joined(std::size_t number) {
+void record_runtime::arm_batch_timer(std::size_t number) {
   partition &waiting = partitions_[number];
   const std::optional<timestamp> due = waiting.node->batch_due();
-  if (!due || waiting.joined_armed) {
+  if (!due || waiting.batch_timer_armed) {
     return;
   }
-  waiting.joined_armed = true;
-  waiting.joined->expires_at(*due);
-  waiting.joined->async_wait(
+  waiting.batch_timer_armed = true;
+  waiting.batch_timer->expires_at(*due);
+  waiting.batch_timer->async_wait(
       [this, number](boost::system::error_code cancelled) {
-        partitions_[number].joined_armed = false;
+        partitions_[number].batch_timer_armed = false;
         if (!cancelled) {
           step(number);
         }
@@ -254,12 +255,12 @@
   }
   if (envelope.has_record_emptied()) {
     const auto &names = envelope.record_emptied().names();
-    partitions_[number].told_emptied = {names.begin(), names.end()};
-    partitions_[number].told_at = steady_now();
+    partitions_[number].reported_removable = {names.begin(), names.end()};
+    partitions_[number].reported_at = steady_now();
     return;
   }
   partitions_[number].node->receive(std::move(envelope));
-  touched_.insert(number);
+  partitions_with_input_.insert(number);
 }
 
 asio::awaitable<void> record_runtime::tick() {
@@ -270,7 +271,7 @@
     for (std::size_t number = 0; number < partitions_.size(); ++number) {
       step(number);
     }
-    tell_emptied();
+    send_removable_nodes();
     report_load();
   }
 }
@@ -285,7 +286,7 @@
   }
 }
 
-void record_runtime::tell_emptied() {
+void record_runtime::send_removable_nodes() {
   // The first partition's leader reports for all; the others tell it.
   for (std::size_t number = 1; number < partitions_.size(); ++number) {
     const record_node &node = *partitions_[number].node;
@@ -324,9 +325,9 @@
         .field("detail", each.detail)
         .write();
   }
-  arm_joined(number);
+  arm_batch_timer(number);
   if (stepped.node->has_more_to_apply()) {
-    go_on_applying(number);
+    schedule_apply(number);
   }
   if (stepped.disk->bytes_since_snapshot() > snapshot_after_bytes) {
     compact(stepped);
@@ -341,7 +342,7 @@
 record_effects record_runtime::apply(partition &stepped) {
   const phase_timer timer(load_, step_phase::apply);
   record_effects effects = stepped.node->after_write(steady_now());
-  exit_unless_done(stepped.disk->keep(std::move(effects.kept)));
+  exit_on_failure(stepped.disk->keep(std::move(effects.kept)));
   return effects;
 }
 
@@ -370,14 +371,14 @@
   }
 }
 
-void record_runtime::go_on_applying(std::size_t number) {
+void record_runtime::schedule_apply(std::size_t number) {
   partition &behind = partitions_[number];
-  if (std::exchange(behind.applying, true)) {
+  if (std::exchange(behind.apply_scheduled, true)) {
     return;
   }
   // Behind whatever has arrived meanwhile, so that others are answered.
   asio::post(io_, [this, number] {
-    partitions_[number].applying = false;
+    partitions_[number].apply_scheduled = false;
     step(number);
   });
 }
@@ -394,7 +395,7 @@
   if (done && effects.members) {
     done = written.disk->write_members(*effects.members);
   }
-  exit_unless_done(done);
+  exit_on_failure(done);
   write_seconds_ +=
       std::chrono::duration<double>(std::chrono::steady_clock::now() - begun)
           .count();
@@ -403,8 +404,8 @@
 void record_runtime::compact(partition &compacted) {
   const phase_timer timer(load_, step_phase::compact);
   const raft::consensus &log = *compacted.node->log();
-  exit_unless_done(compacted.disk->compact(log.base(), log.applied_index(),
-                                           compacted.node->table().snapshot()));
+  exit_on_failure(compacted.disk->compact(log.base(), log.applied_index(),
+                                          compacted.node->table().snapshot()));
 }
 
 void record_runtime::send(std::size_t number,
--- a/src/records/record_runtime.hpp
+++ b/src/records/record_runtime.hpp
@@ -84,22 +84,22 @@
     std::unique_ptr<storage::log_storage> disk;
     std::unique_ptr<record_node> node;
     /// What its leader told last of emptied machines, when another node leads.
-    std::set<std::string> told_emptied;
-    timestamp told_at{};
-    std::unique_ptr<asio::steady_timer> joined;
-    bool joined_armed = false;
+    std::set<std::string> reported_removable;
+    timestamp reported_at{};
+    std::unique_ptr<asio::steady_timer> batch_timer;
+    bool batch_timer_armed = false;
     /// Another step is posted, to apply what the last one left.
-    bool applying = false;
+    bool apply_scheduled = false;
   };
 
   void on_message(wire::Envelope envelope);
-  void drain();
+  void process_arrived();
   void receive(wire::Envelope envelope);
   /// Steps again when questions that wait to be joined are due.
-  void arm_joined(std::size_t number);
+  void arm_batch_timer(std::size_t number);
   void step(std::size_t number);
   /// Steps again soon for entries that one step left unapplied.
-  void go_on_applying(std::size_t number);
+  void schedule_apply(std::size_t number);
   void send(std::size_t number, std::vector<addressed_message> &messages);
   void write(partition &written, record_effects &effects);
   /// Completes the turns that messages name.
@@ -108,7 +108,7 @@
   /// Notes the turns with their bodies that an answer brings.
   void count_history(const wire::Envelope &envelope);
   void compact(partition &compacted);
-  void tell_emptied();
+  void send_removable_nodes();
   /// Logs what the node was kept busy with, once a second.
   void report_load();
   /// The reducer's part of a step.
@@ -120,13 +120,13 @@
   asio::io_context &io_;
   std::minstd_rand random_{std::random_device{}()}; // before what draws from it
   std::vector<partition> partitions_;
-  std::set<std::size_t> touched_;
+  std::set<std::size_t> partitions_with_input_;
   std::function<void(const wire::FollowObjects &)> follow_handler_;
   std::unique_ptr<rpc::transport> transport_;
 
   std::mutex mutex_;
   std::vector<wire::Envelope> arrived_; // guarded by mutex_
-  bool drain_posted_ = false;           // guarded by mutex_
+  bool processing_posted_ = false;      // guarded by mutex_
   timestamp first_arrived_{};           // guarded by mutex_
 
   std::uint64_t writes_ = 0;
--- a/src/storage/log_storage.cpp
+++ b/src/storage/log_storage.cpp
@@ -43,7 +43,7 @@
 
 /// Turns are written when they come to so many bytes: some eight of the usual
 /// ones, in one transaction. Until then their entries bring them back.
-constexpr std::size_t most_unwritten_bytes = std::size_t{128} << 10U;
+constexpr std::size_t max_unwritten_bytes = std::size_t{128} << 10U;
 /// Entries that a snapshot has made needless are deleted a few with each write:
 /// SQLite walks all pages of each.
 constexpr std::uint64_t entries_deleted_at_once = 8;
@@ -222,14 +222,14 @@
     if (!named) {
       return named.error();
     }
-    storage->made_now_ = true;
+    storage->created_ = true;
   }
   return storage;
 }
 
 result<recovered_state> log_storage::recover() {
   recovered_state state;
-  state.is_new = made_now_;
+  state.is_new = created_;
   const std::string identity = *database_->get_meta(key_identity);
   constexpr int hexadecimal = 16;
   state.identity = boot_id{std::stoull(identity, nullptr, hexadecimal)};
@@ -259,7 +259,7 @@
       bytes && !state.members.ParseFromString(*bytes)) {
     return unreadable(key_members);
   }
-  needless_through_ = state.replica.base.index;
+  obsolete_through_ = state.replica.base.index;
   const auto rows =
       database_->prepare("SELECT entry FROM log WHERE idx > ? ORDER BY idx");
   sqlite3_bind_int64(rows.get(), 1,
@@ -277,11 +277,11 @@
     bytes_since_snapshot_ += in_snapshot ? 0 : bytes.size();
     state.replica.entries.push_back(std::move(entry));
   }
-  BOOST_OUTCOME_TRY(drop_unknown_turns(state));
+  BOOST_OUTCOME_TRY(delete_orphaned_turns(state));
   return state;
 }
 
-result<void> log_storage::drop_unknown_turns(const recovered_state &state) {
+result<void> log_storage::delete_orphaned_turns(const recovered_state &state) {
   std::unordered_set<std::string> known;
   for (const wire::RecordKeptTurn &kept : state.snapshot.turns()) {
     known.insert(kept.turn().id());
@@ -299,13 +299,13 @@
   while (sqlite3_step(rows.get()) == SQLITE_ROW) {
     std::string id = database::column(rows.get(), 0);
     if (!known.contains(id)) {
-      undropped_turns_.push_back(std::move(id));
+      turns_to_delete_.push_back(std::move(id));
     }
   }
-  if (undropped_turns_.empty()) {
+  if (turns_to_delete_.empty()) {
     return outcome::success();
   }
-  return database_->transact([this] { return write_turns(); });
+  return database_->transact([this] { return flush_turns(); });
 }
 
 result<void> log_storage::keep(std::vector<wire::RecordTurn> turns) {
@@ -314,16 +314,16 @@
     std::string id = turn.id();
     unwritten_turns_.insert_or_assign(std::move(id), std::move(turn));
   }
-  if (unwritten_bytes_ < most_unwritten_bytes) {
+  if (unwritten_bytes_ < max_unwritten_bytes) {
     return outcome::success();
   }
-  return database_->transact([this] { return write_turns(); });
+  return database_->transact([this] { return flush_turns(); });
 }
 
 void log_storage::drop(const std::vector<std::string> &ids) {
   for (const std::string &id : ids) {
     unwritten_turns_.erase(id);
-    undropped_turns_.push_back(id);
+    turns_to_delete_.push_back(id);
   }
 }
 
@@ -351,17 +351,17 @@
   return turn;
 }
 
-result<void> log_storage::write_turns() {
-  if (!undropped_turns_.empty()) {
+result<void> log_storage::flush_turns() {
+  if (!turns_to_delete_.empty()) {
     const auto remove = database_->prepare("DELETE FROM turns WHERE id = ?");
-    for (const std::string &id : undropped_turns_) {
+    for (const std::string &id : turns_to_delete_) {
       sqlite3_reset(remove.get());
       database::bind_text(remove.get(), 1, id);
       if (sqlite3_step(remove.get()) != SQLITE_DONE) {
         return database_->failure("drop a turn");
       }
     }
-    undropped_turns_.clear();
+    turns_to_delete_.clear();
   }
   if (!unwritten_turns_.empty()) {
     // A turn never changes: one that a replayed entry brings again is there.
@@ -391,14 +391,14 @@
       // The snapshot replaces the whole log, also what lies behind it.
       BOOST_OUTCOME_TRY(
           database_->delete_log("DELETE FROM log WHERE idx >= ?", 0));
-      BOOST_OUTCOME_TRY(write_turns());
+      BOOST_OUTCOME_TRY(flush_turns());
       BOOST_OUTCOME_TRY(
           put_base(*changes.installed, changes.installed->index, *snapshot));
-      needless_through_ = 0;
+      obsolete_through_ = 0;
       log_bytes_ = 0;
       bytes_since_snapshot_ = 0;
     }
-    BOOST_OUTCOME_TRY(delete_some_needless());
+    BOOST_OUTCOME_TRY(delete_obsolete_entries());
     if (changes.truncate_from != 0) {
       BOOST_OUTCOME_TRY(database_->delete_log("DELETE FROM log WHERE idx >= ?",
                                               changes.truncate_from));
@@ -425,10 +425,10 @@
                                   std::uint64_t applied,
                                   const wire::RecordSnapshot &snapshot) {
   BOOST_OUTCOME_TRY(database_->transact([&]() -> result<void> {
-    BOOST_OUTCOME_TRY(write_turns());
+    BOOST_OUTCOME_TRY(flush_turns());
     return put_base(base, applied, snapshot);
   }));
-  needless_through_ = base.index;
+  obsolete_through_ = base.index;
   bytes_since_snapshot_ = 0;
   const auto left = database_->prepare(
       "SELECT IFNULL(SUM(LENGTH(entry)), 0) FROM log WHERE idx > ?");
@@ -440,22 +440,22 @@
   return outcome::success();
 }
 
-result<void> log_storage::delete_some_needless() {
-  if (needless_through_ == 0) {
+result<void> log_storage::delete_obsolete_entries() {
+  if (obsolete_through_ == 0) {
     return outcome::success();
   }
   const auto remove =
       database_->prepare("DELETE FROM log WHERE idx <= ? AND idx < (SELECT "
                          "MIN(idx) FROM log) + ?");
   sqlite3_bind_int64(remove.get(), 1,
-                     static_cast<sqlite3_int64>(needless_through_));
+                     static_cast<sqlite3_int64>(obsolete_through_));
   sqlite3_bind_int64(remove.get(), 2,
                      static_cast<sqlite3_int64>(entries_deleted_at_once));
   if (sqlite3_step(remove.get()) != SQLITE_DONE) {
     return database_->failure("delete needless entries");
   }
   if (sqlite3_changes(database_->handle) == 0) {
-    needless_through_ = 0;
+    obsolete_through_ = 0;
   }
   return outcome::success();
 }
--- a/src/storage/log_storage.hpp
+++ b/src/storage/log_storage.hpp
@@ -82,21 +82,21 @@
   result<void> put_base(const raft::log_base &base, std::uint64_t applied,
                         const wire::RecordSnapshot &snapshot);
   /// Deletes a few of the entries that a snapshot has made needless.
-  result<void> delete_some_needless();
+  result<void> delete_obsolete_entries();
   /// Writes what `keep` and `drop` have left, within a transaction.
-  result<void> write_turns();
-  result<void> drop_unknown_turns(const recovered_state &state);
+  result<void> flush_turns();
+  result<void> delete_orphaned_turns(const recovered_state &state);
 
   std::unique_ptr<database> database_;
-  bool made_now_ = false;
+  bool created_ = false;
   std::uint64_t log_bytes_ = 0;
   std::uint64_t bytes_since_snapshot_ = 0;
   /// Entries up to here are to be deleted; 0 when they are.
-  std::uint64_t needless_through_ = 0;
+  std::uint64_t obsolete_through_ = 0;
   /// Turns that wait to be written, and their encoded size.
   std::unordered_map<std::string, wire::RecordTurn> unwritten_turns_;
   std::size_t unwritten_bytes_ = 0;
-  std::vector<std::string> undropped_turns_;
+  std::vector<std::string> turns_to_delete_;
 };
 
 } // namespace heathtrestle::storage
