--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -13,23 +13,26 @@
 namespace {
 
 constexpr partition_id the_partition{};
-/// Without word from a leader for this long a node looks for its group.
+/// A node that hears from no leader for this long sends hello messages to find
+/// its group.
 constexpr duration_ms leader_timeout{1000};
-/// What another node told of the leader counts this long.
+/// Lifetime of a leader hint.
 constexpr duration_ms leader_hint_lifetime{2000};
-/// Learners that are no longer heard from are dropped after this long.
+/// A learner that is silent for this long is dropped.
 constexpr duration_ms drop_learner_after{3000};
-/// Two identities of one node: the one that has been silent for the first of
-/// these while the other was heard within the second is the one that is gone.
-/// Messages of a process that has ended may still be read for a moment.
+/// Of two identities of one node, the one that has been silent for
+/// `dead_after_silence` is dead if the other was heard within
+/// `successor_heard_within`. The silence is required because messages of the
+/// ended process may still be in flight.
 constexpr duration_ms dead_after_silence{500};
 constexpr duration_ms successor_heard_within{400};
-/// Told in place of the next part by a follower that lacks none.
+/// Sent instead of the next part number by a follower that needs no more parts.
 constexpr std::uint32_t no_more_parts =
     std::numeric_limits<std::uint32_t>::max();
-/// A leader drops nodes without a vote from the member list after this silence.
+/// A leader removes nodes without a vote from the member list after this
+/// silence.
 constexpr duration_ms forget_after{5000};
-/// For so long a leader that hands over waits for a successor that holds all.
+/// Maximum duration of a leadership transfer, in which proposals are paused.
 constexpr duration_ms transfer_timeout{400};
 
 std::uint64_t request_hash(const std::string &reply_to, std::uint64_t id) {
@@ -186,12 +189,12 @@
   const replica_id from{node_id{envelope.from()},
                         boot_id{envelope.from_boot()}};
   if (log_->is_dead(from)) {
-    return; // sent before its disk was lost
+    return; // from an identity whose disk is lost
   }
   const bool for_another =
       envelope.to_boot() != 0 && envelope.to_boot() != self_id_.boot.value();
   if (for_another) {
-    return; // for the identity that this node had on a disk that is lost
+    return; // addressed to an earlier identity of this node
   }
   update_last_heard(from, now);
   switch (envelope.body_case()) {
@@ -248,7 +251,7 @@
     log_->handle(envelope.transfer_leadership(), now, random, out);
     break;
   default:
-    break; // other parts of the product speak here too
+    break; // messages of other components share this transport
   }
 }
 
@@ -270,15 +273,14 @@
   if (request.items().empty() && log_->in_contact(now)) {
     answer_probe(request);
   } else if (request.items().empty()) {
-    refuse(request, now); // nothing can be recorded without a majority
+    refuse(request, now); // without a majority nothing can be committed
   }
-  // What was asked again after its answer had left, or can be told at once.
-  // Recorded anew it would cost an entry with all that the question holds: a
-  // group that answered late had three times the entries to replicate.
+  // Retransmissions whose outcome is already decided are answered from the
+  // state: recording them again would replicate the whole request once more.
   wire::RecordReply decided;
   for (const wire::RecordRequestItem &item : request.items()) {
     if (item.change().has_reserve_quota()) {
-      continue; // for leaders alone to propose
+      continue; // only leaders propose reservations
     }
     if (!register_request(request.reply_to(), item.id())) {
       continue;
@@ -332,8 +334,8 @@
   wire::RecordReply &reply = *envelope.mutable_record_reply();
   reply.set_not_leader(true);
   *reply.mutable_seen() = seen_;
-  // Most nodes of a large fleet have no part in this partition. What the leader
-  // told them saves a gateway from asking one node after the other.
+  // Most nodes of a large fleet have no replica of this partition; the hint
+  // saves a gateway from trying one node after the other.
   const std::string known = leader_address();
   reply.set_leader_address(known.empty() && has_leader_hint(now) ? leader_hint_
                                                                  : known);
@@ -373,12 +375,13 @@
   const bool superseded = part.term() < log_->term().value();
   const bool held = part.last_index() <= log_->commit_index().value();
   if (!superseded && !held) {
-    // Straight to the disk: the whole state may be more than the memory holds.
+    // Bodies go straight to disk: the whole state may exceed the available
+    // memory.
     extract_bodies(*part.mutable_records(), arrived_turns_);
   }
   const bool complete = !superseded && !held && receiver_.receive(part);
   if (superseded || held || complete) {
-    // Answers for itself: with the newer term, or with what this log holds.
+    // Consensus replies itself, with the newer term or its last index.
     const bool newer = log_->handle(part, now, random, out);
     if (newer) {
       installed_ = receiver_.take();
@@ -469,7 +472,7 @@
     return;
   }
   if (permits_term_ != log_->term()) {
-    clear_permit_requests(now); // elected anew before the loss was noticed
+    clear_permit_requests(now); // re-elected before the loss was noticed
   }
   for (wire::ReserveQuota &wanted : permits_.due(now)) {
     wire::RecordChange change;
@@ -488,8 +491,8 @@
     refused.add_items()->set_id(each.id);
     refuse(refused, now);
   }
-  // Recorded later it would be another term's, about permits that count
-  // already.
+  // Proposed later, a reservation would belong to another term and concern
+  // permits that are already counted.
   std::erase_if(proposals_, [](const auto &proposal) {
     return proposal.second.has_reserve_quota();
   });
@@ -534,12 +537,12 @@
 
 void record_node::redirect_proposals(timestamp now) {
   if (leader_address().empty()) {
-    return; // told when there is somebody to ask
+    return; // refused once a leader is known
   }
   std::map<std::string, wire::RecordRequest> by_origin;
   for (const auto &[origin, change] : proposals_) {
     if (change.has_reserve_quota()) {
-      continue; // this node's own
+      continue; // proposed by this node itself
     }
     wire::RecordRequest &request = by_origin[origin.reply_to];
     request.set_reply_to(origin.reply_to);
@@ -648,8 +651,8 @@
 void record_node::on_leader_hint(const std::string &leader,
                                  const std::string &reported_by,
                                  timestamp now) {
-  // Most nodes that are asked have no part and know nobody. That says nothing,
-  // unless it is the one that was taken for the leader.
+  // An empty address from a node without a replica carries no information; from
+  // the presumed leader it means that it no longer leads.
   const bool says_something = !leader.empty() || reported_by == leader_hint_;
   if (says_something) {
     leader_hint_ = leader;
@@ -667,9 +670,10 @@
       std::ranges::any_of(voters, [this, &learner](const replica_id &voter) {
         return voter.node == learner.node && log_->is_dead(voter);
       });
-  // A dead voter acknowledges nothing, so a successor that lags in its place
-  // costs nothing. Waiting for it to be close to the end of a busy log left the
-  // group with four voters for up to 5 s more, while the next two may be lost.
+  // A dead voter acknowledges nothing, so replacing it by a successor that lags
+  // loses nothing, and the group regains a voter sooner. Waiting until the
+  // successor reaches the end of a busy log would prolong the time in which
+  // fewer losses are tolerated.
   const bool holds_state = log_->match_index(learner) > 0;
   return log_->caught_up(learner) || (succeeds_dead && holds_state);
 }
@@ -681,7 +685,7 @@
     const bool is_self = id == self_id_;
     const bool unheard = known.heard == timestamp{};
     const timestamp heard = unheard ? timestamp{} : known.heard;
-    // A leader that has just begun knows of nobody how long he was silent.
+    // A new leader cannot know how long a node was silent before its term.
     const timestamp since = std::max(heard, leading_since_);
     nodes.push_back(
         {.replica = id,
@@ -771,9 +775,9 @@
 }
 
 bool record_node::may_transfer_soon(timestamp now) const {
-  // Begun before, the copy of the state would be begun anew by the next leader.
-  // And a node that came to lead three partitions would copy all three: that
-  // took it 14 s and more, where each takes 4 to 6 s from a leader of its own.
+  // The next leader would restart the snapshot transfer. A node that leads
+  // several partitions would also send all their snapshots at once, which takes
+  // several times as long as one from each leader.
   const timestamp settled = leading_since_ + options_.transfer_delay +
                             transfer_timeout + options_.raft.heartbeat_interval;
   return options_.partitions > 1 && !log_->was_handed_the_lead() &&
@@ -797,8 +801,8 @@
 }
 
 bool record_node::has_incomplete_replica(timestamp now) const {
-  // The next leader would begin the copy of the state anew, and may have
-  // dropped what a voter that lags needs.
+  // The next leader would restart the snapshot transfer, and may have dropped
+  // the entries that a lagging voter needs.
   const std::vector<node_view> nodes = node_views(now);
   return !learners_.empty() ||
          std::ranges::any_of(nodes, [](const node_view &each) {
@@ -819,12 +823,13 @@
     return;
   }
   if (now >= transfer_deadline_) {
-    transfer_targets_.clear(); // goes on leading
+    transfer_targets_.clear(); // keeps the leadership
     return;
   }
-  // With everything committed, nobody who asked is left without an answer. What
-  // this node proposed after telling the successor would keep others from
-  // voting for him, so it waits on.
+  // Once everything is committed, every request has its reply. An entry
+  // proposed after the transfer request would make this node's log longer than
+  // the target's, and others might not vote for the target; so proposals stay
+  // paused.
   const bool all_committed = log_->commit_index() == log_->last_index();
   if (!transfer_requested_ && all_committed) {
     transfer_requested_ = log_->transfer_leadership(transfer_targets_, out);
@@ -839,8 +844,8 @@
              now < state.heard + successor_heard_within;
     });
   };
-  // The voters too: a node that restarts no longer lists as a member whom it
-  // declared dead before, but its log may still count him.
+  // Includes the voters: a restarted node no longer lists a member that it
+  // declared dead before, but its log may still count it as a voter.
   std::set<replica_id> candidates;
   for (const auto &[id, known] : members_) {
     candidates.insert(id);
@@ -984,7 +989,7 @@
 void record_node::forget_lost_members(timestamp now) {
   const bool settled = now >= leading_since_ + forget_after;
   if (!settled) {
-    return; // a new leader has not heard of everybody yet
+    return; // a new leader has not heard from every node yet
   }
   const std::size_t before = members_.size();
   std::erase_if(members_, [this, now](const auto &entry) {
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -1,11 +1,13 @@
-// One storage node of the record group: a reducer over messages and time. What
-// is to be done comes out as effects; it does no I/O, reads no clock and draws
-// no randomness.
+// The replicated state machine of one storage node: consensus, membership,
+// snapshots and the record table, driven only by messages and the time passed
+// in. It performs no I/O, reads no clock and draws no randomness; a step
+// returns the effects that the caller carries out.
 //
-// A step is carried out in this order: send the early messages, write the
-// changes to disk, then send the rest. Early are only a leader's entries, which
-// count for nothing until others acknowledge them; votes, acknowledgements and
-// answers leave after the disk has what they promise.
+// Order of the effects of a step: send the early messages, write the changes to
+// disk, then send the other messages. Only a leader's append requests are
+// early, because entries count as committed only after others acknowledge them.
+// Votes, acknowledgements and replies are sent after the state that they
+// promise is durable.
 #pragma once
 
 #include "base/time.hpp"
@@ -46,122 +48,130 @@
                      .probe_interval = duration_ms{50},
                      .resend_after = duration_ms{600},
                      .unacknowledged_entries = 256};
-  /// Committed entries that one step applies at the most: a node that is back
-  /// has its whole log to apply, and must speak to the others meanwhile.
+  /// Maximum number of committed entries applied in one step. It keeps a
+  /// restarted node responsive while it applies its whole log.
   std::size_t entries_per_step = 64;
   snapshot_transfer_options snapshots;
   group_size size;
-  /// Which partition of the record group this is. Where there are several, the
-  /// leaderships and replicas of each prefer other nodes.
+  /// Index of this partition of the record group. Each partition prefers
+  /// different nodes for its leader and its replicas.
   std::uint32_t partition = 0;
   std::uint32_t partitions = 1;
-  /// Questions that come within this long of the last entry are joined into the
-  /// next one; zero proposes at once.
+  /// Minimum time between two proposals of a leader; requests that arrive
+  /// meanwhile share the next log entry. Zero proposes immediately.
   duration_ms batch_interval{0};
-  /// A leader leaves the lead to the preferred voter after this long.
+  /// A leader that is not the preferred voter attempts to transfer leadership
+  /// after leading for this long.
   duration_ms transfer_delay{2000};
-  /// One that was handed the lead keeps it for this long: nodes that know other
-  /// members prefer other leaders, and would hand it to and fro.
+  /// A leader that received its leadership by transfer keeps it for at least
+  /// this long. Nodes with different member lists prefer different leaders and
+  /// would otherwise transfer leadership back and forth.
   duration_ms keep_received_leadership{20000};
-  /// A node not heard from for this long is not counted as alive.
+  /// A node that has sent nothing for this long counts as unreachable.
   duration_ms liveness_timeout{800};
-  /// A voter silent for this long gives way to a spare node.
+  /// A voter that has sent nothing for this long is replaced by a spare node.
   duration_ms replace_after{1500};
   duration_ms hello_interval{300};
-  /// A node that is told who leads, but is not sent to, says hello to the
-  /// leader alone, this often: he may need it one day.
+  /// Interval of hello messages of a node without a replica of this partition
+  /// that has a valid leader hint; it sends them to the leader only, so that
+  /// the leader knows it as a candidate.
   duration_ms idle_hello_interval{500};
-  /// A new leader looks for spare nodes only after this long, so that those
-  /// which are coming back with their disks are not taken for lost.
+  /// A new leader adds spare nodes only after leading for this long, so that
+  /// restarting nodes with intact disks have time to return.
   duration_ms recruit_after{0};
 };
 
-/// A message to an address ("ip:port").
+/// A message and its destination address ("ip:port").
 struct addressed_message {
   std::string address;
   wire::Envelope envelope;
 };
 
-/// A line for the log.
+/// An event to be written to the process log.
 struct logged_event {
   logging::event number;
   std::string detail;
 };
 
-/// What one step wants done.
+/// The I/O requested by one step.
 struct record_effects {
   std::vector<addressed_message> early;
   raft::unsaved_changes write;
   /// Set when `write` installs a snapshot.
   std::optional<wire::RecordSnapshot> installed;
-  /// Whole turns that are to be kept on the disk, before any message that names
-  /// them is sent; they have to last when the log or a snapshot that brought
-  /// them is dropped.
+  /// Turns with their bodies. They must be stored before any message that names
+  /// them is sent, and must outlive the log entries or the snapshot that
+  /// carried them.
   std::vector<wire::RecordTurn> kept;
-  /// Turns that no message names any more once those of this step are sent.
+  /// Turns whose bodies can be deleted once the messages of this step are sent.
   std::vector<std::string> dropped;
-  /// Set when the member list is to be written.
+  /// Set when the member list has changed and must be written.
   std::optional<wire::RecordMembers> members;
-  /// Turns that they name are filled in from `turn_bodies`.
+  /// Turns in these messages carry no bodies; the caller adds them from
+  /// `turn_bodies`.
   std::vector<addressed_message> messages;
   std::vector<logged_event> log;
 };
 
-/// Questions that a leader was asked.
+/// Numbers of request items received by a leader.
 struct request_counts {
   std::uint64_t taken = 0;
-  /// Copies of questions that are being answered already.
+  /// Retransmissions of items that are still being processed.
   std::uint64_t repeated = 0;
-  /// Those of `taken` that needed no entry of the log.
+  /// Items of `taken` that were answered from the current state, without a log
+  /// entry.
   std::uint64_t settled = 0;
 };
 
 class record_node {
 public:
-  /// @param self how others know this node; its replica carries the identity
-  /// that its disk has.
+  /// @param self name, address and zone of this node; its replica id is
+  /// replaced by the identity stored on disk.
   record_node(wire::RecordMember self, storage::recovered_state recovered,
               record_node_options options, timestamp now, std::uint64_t random);
 
-  /// Makes this node the group's first voter. Only for the one process that
-  /// the object store has named as founder.
+  /// Creates a new group with this node as its only voter. Only the one process
+  /// that the object store names as founder may call this.
   void bootstrap(timestamp now, std::uint64_t random);
   [[nodiscard]] bool has_group() const {
     return log_.has_value() && !log_->voters().empty();
   }
 
-  /// Takes in messages; the time is given by the next `step`.
+  /// Queues a message for the next `step`.
   void receive(wire::Envelope envelope);
-  /// Storage nodes that the object store or a peer knows of.
+  /// Adds storage nodes listed by the object store or by a peer.
   void learn_members(const wire::RecordMembers &members);
-  /// Names of the nodes whose machines are to be emptied.
+  /// Sets the names of the nodes that the operator wants to remove.
   void set_retiring(std::set<std::string> names) {
     retiring_ = std::move(names);
   }
 
-  /// Reduces all that has come in, up to the write.
-  /// @param wall_ms time of day, stamped on what is proposed.
+  /// Processes all queued messages and timers, up to the write to disk.
+  /// @param wall_ms wall-clock time in milliseconds, recorded in proposed
+  /// entries.
   record_effects step(timestamp now, std::uint64_t wall_ms,
                       std::uint64_t random);
-  /// Goes on when the write is durable: applies what is committed.
+  /// Second half of a step, to be called after the write is durable: applies
+  /// committed entries and creates the replies.
   record_effects after_write(timestamp now);
 
-  /// True when committed entries wait to be applied by another step.
+  /// True when committed entries remain to be applied by another step.
   [[nodiscard]] bool has_more_to_apply() const { return log_->has_committed(); }
-  /// Questions since the last call.
+  /// Counts since the last call.
   request_counts take_request_counts() {
     return std::exchange(request_counts_, {});
   }
-  /// When questions that wait to be joined are to be proposed by a step.
+  /// Time at which a step is due to propose the queued requests; nothing when
+  /// none are queued or they cannot be proposed now.
   [[nodiscard]] std::optional<timestamp> batch_due() const;
 
-  /// Retiring nodes without which the group bears all that it promises to bear;
-  /// known to its leader alone.
+  /// Names of the retiring nodes that can be shut down while the group still
+  /// tolerates the configured losses. Empty unless this node leads.
   [[nodiscard]] std::set<std::string> removable_nodes(timestamp now) const;
   [[nodiscard]] bool is_leader() const {
     return log_.has_value() && log_->is_leader();
   }
-  /// True while this node leads, follows, or has been told lately who leads.
+  /// True while this node leads, follows a leader, or has a valid leader hint.
   [[nodiscard]] bool knows_leader(timestamp now) const;
   [[nodiscard]] const record_table &table() const { return table_; }
   [[nodiscard]] const raft::consensus *log() const {
@@ -176,7 +186,7 @@
     wire::RecordMember record;
     timestamp heard{};
   };
-  /// Who asked for a change that is in the log.
+  /// The sender of a request item whose outcome is pending.
   struct request_origin {
     std::string reply_to;
     std::uint64_t id = 0;
@@ -186,79 +196,84 @@
   void reduce(wire::Envelope &envelope, timestamp now, std::uint64_t random,
               raft::outbox &out);
   void on_request(const wire::RecordRequest &request, timestamp now);
-  /// @return false when the question is being answered already: whoever asks
-  /// again is only impatient.
+  /// Marks a request item as pending.
+  /// @return false when it is pending already, i.e. this is a retransmission.
   bool register_request(const std::string &reply_to, std::uint64_t id);
   void on_hello(const wire::RecordHello &hello, timestamp now);
   void on_snapshot(wire::SnapshotRequest &part, timestamp now,
                    std::uint64_t random, raft::outbox &out);
   void on_snapshot_progress(const wire::SnapshotProgress &progress,
                             timestamp now);
-  /// Sends the part of a snapshot that is due, if any.
+  /// Sends the next part of a snapshot when one is due.
   void send_snapshot(timestamp now);
   void update_last_heard(const replica_id &from, timestamp now);
   void learn_member(const wire::RecordMember &record, timestamp now);
   void propose_batch(timestamp now, std::uint64_t wall_ms, raft::outbox &out);
-  /// Asks the partition for the permits that the desk wants to give.
+  /// Proposes the quota reservations that the pending permit requests need.
   void propose_quota_reservations(timestamp now);
-  /// True once this leader has applied every entry of earlier terms: only then
-  /// it knows what is out, and the partition's time.
+  /// True once this leader has applied all entries of earlier terms. Only then
+  /// are its quota accounts and the quota time of the partition complete.
   [[nodiscard]] bool has_current_quotas() const;
-  /// Empties the desk: what it has is another term's. Questions that wait are
-  /// refused, and what it wanted and has not been proposed is dropped.
+  /// Drops the permits reserved in another term, refuses the permit requests
+  /// that wait, and discards reservations not proposed yet.
   void clear_permit_requests(timestamp now);
-  /// Sends what the desk has decided.
+  /// Sends the outcomes of permit requests.
   void send_permits(timestamp now, record_effects &effects);
   void refuse(const wire::RecordRequest &request, timestamp now);
-  /// Takes in whom another node takes for the leader; empty for nobody.
+  /// Stores the leader address reported by another node; empty when that node
+  /// knows none.
   void on_leader_hint(const std::string &leader, const std::string &reported_by,
                       timestamp now);
-  /// True when another node has named a leader a short while ago.
+  /// True while the last leader hint is recent enough to be used.
   [[nodiscard]] bool has_leader_hint(timestamp now) const;
-  /// A request without items asks whether this node is reached.
+  /// Replies to a request without items, by which a gateway checks that this
+  /// leader is reachable.
   void answer_probe(const wire::RecordRequest &request);
   void send_hello(timestamp now);
   void maintain_membership(timestamp now, raft::outbox &out);
   void apply_change(const membership_change &change, timestamp now,
                     raft::outbox &out);
-  /// Whether a learner may take a voter's place.
+  /// Whether a learner holds enough of the log to become a voter.
   [[nodiscard]] bool may_become_voter(const replica_id &learner) const;
   [[nodiscard]] std::vector<node_view> node_views(timestamp now) const;
-  /// How much this partition prefers each node: the nodes in order of their
-  /// ids, beginning where this partition's share of them begins.
+  /// The preference of this partition for each node. Nodes are ranked in the
+  /// order of their ids, starting at an offset that differs by partition.
   [[nodiscard]] std::map<node_id, std::uint64_t> preferences() const;
-  /// Of the voters that are there the one that this partition prefers.
+  /// The available voter with the highest preference.
   [[nodiscard]] std::optional<replica_id> preferred_voter(timestamp now) const;
-  /// Hands the lead to the voter that this partition prefers.
+  /// Transfers leadership to the preferred voter when that is due.
   void transfer_to_preferred_voter(timestamp now);
-  /// True while a new leader may soon hand the lead over, so that it had better
-  /// begin no copy of the state.
+  /// True while this new leader is likely to transfer leadership soon. It
+  /// should not start a snapshot transfer that the next leader would restart.
   [[nodiscard]] bool may_transfer_soon(timestamp now) const;
-  /// True while a node is sent what it lacks.
+  /// True while a learner or a lagging voter is being brought up to date.
   [[nodiscard]] bool has_incomplete_replica(timestamp now) const;
-  /// Begins to hand the lead over: nothing is proposed until the others hold
-  /// everything and one of `eligible` can be told to stand for election.
+  /// Starts a leadership transfer: proposals stop until all entries are
+  /// committed and one of `eligible` can be asked to start an election.
   void begin_transfer(std::set<replica_id> eligible, timestamp now);
   void continue_transfer(timestamp now, raft::outbox &out);
-  /// Tells those whose questions wait here who leads now.
+  /// Refuses the queued requests, naming the current leader to their senders.
   void redirect_proposals(timestamp now);
   void queue_messages(raft::outbox &out, record_effects &effects);
   void send_outcomes(std::uint64_t index,
                      const std::vector<wire::RecordReplyItem> &outcomes,
                      timestamp now, record_effects &effects);
-  /// Sends an answer that needs no entry of the log.
+  /// Sends a reply that needs no log entry.
   void send_reply(const std::string &address, std::uint64_t known_members,
                   wire::RecordReply reply, timestamp now);
-  /// Adds to an answer what every answer to this address carries.
+  /// Adds the leader address, seen revisions, member list and load reports that
+  /// replies to this address carry.
   void add_common_fields(wire::RecordReply &reply, const std::string &address,
                          std::uint64_t known_members, timestamp now);
   void update_leadership(timestamp now);
-  /// Declares identities dead whose node speaks under another one.
+  /// Declares a replica dead when its node has come back with another identity,
+  /// i.e. has lost its disk.
   void detect_dead_replicas(timestamp now);
-  /// When an identity was last heard; of one that is in the log's voters only,
-  /// since before this process began.
+  /// Time of the last message from a replica; the start of this process for a
+  /// voter that is not in the member list.
   [[nodiscard]] timestamp last_heard(const replica_id &id) const;
-  /// Drops members that are gone for good, so that nobody asks them any more.
+  /// Removes members without a vote that have been silent for long, so that no
+  /// messages are sent to them.
   void forget_lost_members(timestamp now);
   [[nodiscard]] std::string address_of(const replica_id &replica) const;
   [[nodiscard]] std::string leader_address() const;
@@ -276,25 +291,25 @@
   wire::SeenRevisions seen_;
   load_board loads_;
   permit_desk permits_;
-  /// The term in which the desk was last empty.
+  /// The term for which `permits_` is valid.
   term_id permits_term_{};
   quota_clock quota_clock_;
-  /// Of the last entry that was applied.
+  /// Term of the last applied entry.
   term_id applied_term_{};
-  /// Those that have told their loads and are to be told the others'.
+  /// Gateways that have sent a load report and are due one in return.
   std::set<std::string> pending_load_replies_;
 
   std::vector<wire::Envelope> inbox_;
   std::vector<std::pair<request_origin, wire::RecordChange>> proposals_;
   std::map<std::uint64_t, std::vector<request_origin>>
       requesters_; // by log index
-  /// Hashes of the questions in the two above.
+  /// Hashes of the request items in `proposals_`, `requesters_` and `permits_`.
   std::unordered_set<std::uint64_t> pending_requests_;
   request_counts request_counts_;
   std::vector<addressed_message> outgoing_;
   std::vector<logged_event> events_;
   std::optional<wire::RecordSnapshot> installed_;
-  std::vector<wire::RecordTurn> arrived_turns_; // with parts of snapshots
+  std::vector<wire::RecordTurn> arrived_turns_; // from snapshot parts
   std::vector<replica_id> learners_;
   snapshot_sender sender_;
   snapshot_receiver receiver_;
@@ -302,20 +317,21 @@
   timestamp started_;
   timestamp next_hello_{};
   timestamp leader_heard_{};
-  /// The leader's address as another node told it; of a node that the leader
-  /// does not send to.
+  /// The leader's address as reported by another node, for nodes that the
+  /// leader does not replicate to.
   std::string leader_hint_;
   timestamp leader_hint_at_{};
   timestamp leading_since_{};
   timestamp next_transfer_{};
-  /// To whom the lead is being handed, and until when that is tried.
+  /// Candidates of the leadership transfer in progress, and its deadline.
   std::set<replica_id> transfer_targets_;
   bool transfer_requested_ = false;
   timestamp transfer_deadline_{};
   timestamp proposed_{};
 };
 
-/// Identifies a member list, so that it is sent only to those that lack it.
+/// Hash of a member list; a list is sent only to peers that hold a different
+/// one.
 std::uint64_t hash_of(const wire::RecordMembers &members);
 
 } // namespace heathtrestle::records
