--- a/src/records/membership_plan.cpp
+++ b/src/records/membership_plan.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The node's other identity that is alive, when this one is dead.
+/// The live identity of the node of a dead replica; null if there is none.
 const node_view *successor_of(const node_view &dead,
                               const std::vector<node_view> &nodes) {
   const auto found =
@@ -23,8 +23,8 @@
   return std::find(replicas.begin(), replicas.end(), id) != replicas.end();
 }
 
-/// Of the nodes that fit, the preferred one in a zone with the fewest
-/// `counted`.
+/// Of the nodes that fit, the preferred one in a zone with the fewest nodes
+/// matched by `counted`.
 template <typename Fits, typename Counted>
 const node_view *first_in_emptiest_zone(const std::vector<node_view> &nodes,
                                         Fits fits, Counted counted) {
@@ -57,7 +57,7 @@
                     [](const node_view &each) { return each.votes; }));
 }
 
-/// A voter whose copy of the log counts when machines are lost.
+/// A voter whose copy of the log is complete and reachable.
 bool holds_log(const node_view &each) {
   return each.votes && each.alive && !each.dead && !each.lagging;
 }
@@ -67,12 +67,12 @@
       std::count_if(nodes.begin(), nodes.end(), holds_log));
 }
 
-/// A voter that is there, or may be back before it is worth replacing.
+/// A voter that is reachable or may return before it is worth replacing.
 bool is_healthy_voter(const node_view &each) {
   return each.votes && !each.long_silent && !each.retiring && !each.dead;
 }
 
-/// A learner beyond the spares, when no voter is about to need it.
+/// A learner in excess of the spares, unless a voter is about to be replaced.
 const node_view *surplus_learner(const std::vector<node_view> &nodes,
                                  const std::vector<replica_id> &learners,
                                  const group_size &size) {
@@ -90,7 +90,7 @@
   return found == nodes.rend() ? nullptr : &*found;
 }
 
-/// A node that is to follow the log, or none when enough do.
+/// The node to add as a learner; null when there are enough followers.
 const node_view *next_learner(const std::vector<node_view> &nodes,
                               const std::vector<replica_id> &learners,
                               const group_size &size, bool recruit_spares) {
@@ -102,7 +102,8 @@
     if (each.votes && each.dead) {
       const node_view *successor = successor_of(each, nodes);
       if (successor != nullptr && lacks_log(*successor)) {
-        return successor; // takes the dead one's place, however many follow
+        return successor; // replaces the dead voter, however many learners
+                          // there are
       }
     }
   }
@@ -124,8 +125,8 @@
          !each.dead;
 }
 
-/// A voter that gives way to a spare node. A dead one whose node is back waits
-/// for that instead.
+/// A voter to be replaced by a spare node. A dead voter whose node has come
+/// back is replaced by its successor instead.
 const node_view *first_voter_to_replace(const std::vector<node_view> &nodes) {
   const auto found =
       std::find_if(nodes.begin(), nodes.end(), [&nodes](const auto &each) {
@@ -139,15 +140,14 @@
   return found == nodes.end() ? nullptr : &*found;
 }
 
-/// A node that may yet take a voter's place. One that is silent for a moment is
-/// not gone: only a silence as long as that of a voter that is replaced counts.
+/// A node that may still become a voter. Briefly silent nodes are included:
+/// only the silence after which a voter is replaced counts.
 bool may_become_voter(const node_view &each) {
   return !each.votes && !each.long_silent && !each.retiring && !each.dead;
 }
 
-/// Of the voters that fit the one that the group gives up first: who counts
-/// least when machines are lost, then who is to leave anyway, and the leader
-/// last, since it has to hand over before.
+/// Of the voters that fit, the one to remove first: lost ones, then retiring
+/// ones, and the leader last because it has to transfer leadership before.
 template <typename Fits>
 const node_view *least_needed(const std::vector<node_view> &nodes, Fits fits) {
   const auto rank = [](const node_view &each) {
@@ -159,7 +159,7 @@
     if (!each.votes || !fits(each)) {
       continue;
     }
-    // Of equals the retiring one that comes first, else the last one.
+    // Among equals, the first retiring voter, otherwise the last voter.
     const bool less = least == nullptr || rank(each) < rank(*least) ||
                       (!each.retiring && rank(each) == rank(*least));
     least = less ? &each : least;
@@ -167,8 +167,8 @@
   return least;
 }
 
-/// The voter to take out now: a surplus or lost one, or a retiring one that
-/// nobody can succeed while all others hold the log.
+/// The voter to remove now: a surplus or lost one, or a retiring one that no
+/// node can replace while all others hold the log.
 const node_view *next_voter_to_remove(const std::vector<node_view> &nodes,
                                       const group_size &size,
                                       bool recruit_spares) {
@@ -186,7 +186,7 @@
   const node_view *leaving =
       least_needed(nodes, [](const node_view &each) { return each.retiring; });
   if (leaving == nullptr || leaving->dead) {
-    return leaving; // a dead one is no loss to anybody
+    return leaving; // removing a dead voter loses nothing
   }
   if (!recruit_spares) {
     return nullptr;
--- a/src/records/membership_plan.hpp
+++ b/src/records/membership_plan.hpp
@@ -1,5 +1,5 @@
-// Which change of its membership the record group needs next: a pure policy
-// over the leader's view of the storage nodes.
+// Decides the next membership change of a record group. A pure policy over the
+// leader's view of the storage nodes.
 #pragma once
 
 #include "base/ids.hpp"
@@ -13,26 +13,26 @@
 
 namespace heathtrestle::records {
 
-/// A storage node in the leader's eyes.
+/// State of a storage node as known to the leader.
 struct node_view {
   replica_id replica;
   std::string zone;
-  /// Of nodes that are equal otherwise the one with the highest is taken; each
-  /// partition gives other ones, so that its work is spread over the nodes.
+  /// Among otherwise equal nodes the one with the highest preference is chosen.
+  /// Each partition ranks the nodes differently, which spreads its load.
   std::uint64_t preference = 0;
   bool votes = false;
   bool is_self = false;
-  /// It was heard from lately.
+  /// It was heard from within the liveness timeout.
   bool alive = false;
-  /// It was silent long enough to be replaced by a spare node.
+  /// It has been silent long enough to be replaced by a spare node.
   bool long_silent = false;
-  /// Another identity of its node has appeared: its disk is gone for good.
+  /// Its node has come back with another identity, so its disk is lost.
   bool dead = false;
-  /// It is a learner that holds nearly the whole log.
+  /// It is a learner that is ready to become a voter.
   bool caught_up = false;
-  /// It is a voter that lacks entries which were committed a while ago.
+  /// It is a voter that lacks entries committed some time ago.
   bool lagging = false;
-  /// The operator wants its machine emptied.
+  /// The operator wants to remove its machine.
   bool retiring = false;
 };
 
@@ -45,16 +45,17 @@
 struct remove_voter {
   replica_id replica;
 };
-/// The node's new identity takes the place of the dead one.
+/// Replaces a dead identity by the new identity of the same node.
 struct replace_voter {
   replica_id dead;
   replica_id successor;
 };
-/// A follower that nobody needs any more: it costs the leader its link.
+/// Stops replicating to a learner that is not needed, which saves bandwidth of
+/// the leader.
 struct release_learner {
   replica_id replica;
 };
-/// The leader itself is to leave: another one has to remove it.
+/// The leader itself must leave; another leader has to remove it.
 struct resign_leadership {};
 
 using membership_change =
@@ -62,36 +63,38 @@
                  release_learner, resign_leadership>;
 
 struct group_size {
-  /// How many voters the group has while nodes last.
+  /// Number of voters while enough nodes are available.
   std::size_t voters = 3;
-  /// How many nodes follow the log without a vote, ready to take the place of a
-  /// voter. Others hold nothing: each follower costs the leader its link.
+  /// Number of learners kept ready to replace a voter. All other nodes hold
+  /// nothing, since each follower costs the leader bandwidth.
   std::size_t spares = 2;
 
-  /// The size at which `losses` nodes may be lost at once, disks and all, with
-  /// a majority left.
-  /// @param partitions of the record group; where there are several, none has
-  /// spares: their nodes are small, and each follower costs a fifth of what
-  /// recording does. A voter that is lost is replaced by a copy made then.
+  /// The size at which `losses` nodes, including their disks, may be lost at
+  /// once with a majority left.
+  /// @param partitions number of partitions of the record group. With several
+  /// there are no spares, because replicating to each follower is expensive for
+  /// small nodes; a lost voter is replaced by a copy made at that time.
   static group_size tolerating(std::size_t losses, std::size_t partitions = 1);
 };
 
-/// True when the group bears the losses that it is made for: its full number of
-/// voters, or one on every node that there is, is in touch and holds the log.
+/// True when the group tolerates the losses that it is sized for: its full
+/// number of voters, or one on every available node, is reachable and holds the
+/// log.
 bool tolerates_losses(const std::vector<node_view> &nodes,
                       const group_size &size);
 
-/// Voters and spares are spread over the zones, as far as there are nodes.
+/// Decides the next membership change, if any. Voters and spares are spread
+/// over the zones as evenly as the nodes allow.
 /// @param learners nodes that already receive the log without a vote.
 /// @param recruit_spares false while a new leader cannot know yet which nodes
-/// are there: then a full set of voters takes in nobody but the successors of
-/// dead ones, since whoever follows anew has to be sent the whole state, and
-/// nobody leaves without a successor.
+/// are available. A full set of voters then adds only successors of dead
+/// voters, since a new follower needs a transfer of the whole state, and no
+/// voter leaves without a successor.
 ///
-/// A voter in touch that holds the log leaves only once as many others do as
-/// the group has voters: an operator who empties machines must not use up the
-/// losses that the group is to bear. Where no node can take its place it leaves
-/// all the same, as long as all that remain are in touch.
+/// A reachable voter that holds the log is removed only once as many others
+/// hold it as the group has voters, so that removing machines does not use up
+/// the tolerated losses. When no node can take its place, it is removed if all
+/// remaining voters are reachable and hold the log.
 std::optional<membership_change>
 next_membership_change(const std::vector<node_view> &nodes,
                        const std::vector<replica_id> &learners,
