--- a/src/records/record_table.cpp
+++ b/src/records/record_table.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::uint64_t sweep_interval_ms = 5000;
-/// Kept beyond what was asked, since the clocks of two leaders may differ.
+/// Added to each requested lifetime, since the clocks of successive leaders may
+/// differ.
 constexpr std::uint64_t clock_slack_ms = 15000;
 
 } // namespace
@@ -44,11 +45,11 @@
     return keep(change.keep());
   case wire::RecordChange::kReserveQuota:
     return reserve(change.reserve_quota());
-  case wire::RecordChange::kTakePermit: // leaders answer it themselves
+  case wire::RecordChange::kTakePermit: // answered by leaders without the log
   case wire::RecordChange::BODY_NOT_SET:
     break;
   }
-  return {}; // unavailable: a change that this version does not know
+  return {}; // unavailable: this version does not know the change
 }
 
 wire::RecordReplyItem record_table::read(const wire::ReadTurns &wanted) const {
@@ -120,7 +121,7 @@
   case wire::RecordChange::kEnd:
     return decided_outcome(change.end());
   case wire::RecordChange::kRead:
-    // A turn that is kept never changes; that there is none takes the log.
+    // A stored turn never changes, but its absence must be decided by the log.
     return find_turn(change.read().last()) != nullptr
                ? std::optional(read(change.read()))
                : std::nullopt;
@@ -230,7 +231,7 @@
     turn_bytes_ += entry.bytes;
     kept_.push_back(turn);
   }
-  // A turn is kept with its whole chain.
+  // Storing a turn extends the lifetime of all turns before it.
   std::string id = turn.id();
   while (!id.empty()) {
     const auto found = turns_.find(id);
@@ -280,7 +281,7 @@
 std::vector<std::string> record_table::take_dropped() {
   std::vector<std::string> dropped = std::exchange(dropped_, {});
   std::erase_if(dropped, [this](const std::string &id) {
-    return turns_.contains(id); // was kept anew
+    return turns_.contains(id); // stored again
   });
   return dropped;
 }
--- a/src/records/record_table.hpp
+++ b/src/records/record_table.hpp
@@ -1,10 +1,9 @@
-// The state machine of the record group: what each program has spent and
-// reserved of its budget, the turns that are kept, and the permits of tenants.
-// Of a turn it holds what decides; bodies pass through to whoever keeps them
-// (`turn_bodies`).
+// The state machine of the record group: token budgets of programs, stored
+// turns, and quota accounts of tenants. Only the parts of a turn that decisions
+// need are held here; bodies are passed on to their storage (`turn_bodies`).
 //
-// Deterministic: time comes with each batch and never runs backwards. The same
-// batches in the same order leave the same state on every replica.
+// It is deterministic: time comes with each batch and never runs backwards, so
+// the same batches in the same order leave the same state on every replica.
 #pragma once
 
 #include "records/snapshot_image.hpp"
@@ -25,43 +24,44 @@
 
 class record_table {
 public:
-  /// Applies one entry of the log.
-  /// @return the outcome of each change, in order, without ids; histories name
-  /// their turns without the bodies.
+  /// Applies one log entry.
+  /// @return the outcome of each change, in order, without ids; turns of
+  /// histories carry no bodies.
   std::vector<wire::RecordReplyItem> apply(const wire::RecordBatch &batch);
 
-  /// The answer to a question whose outcome is in the state already, and that
-  /// no later entry can change; nothing where the log has to decide. Such
-  /// answers need no entry of their own.
+  /// The outcome of a change that the state already decides and no later entry
+  /// can change, so that no log entry is needed; nothing when the change must
+  /// go through the log.
   [[nodiscard]] std::optional<wire::RecordReplyItem>
   decided_outcome(const wire::RecordChange &change) const;
 
-  /// Whole turns that were taken in since the last call.
+  /// Turns with their bodies stored since the last call.
   std::vector<wire::RecordTurn> take_kept() { return std::exchange(kept_, {}); }
-  /// Turns that were dropped since the last call and are not kept anew.
+  /// Ids of turns dropped since the last call and not stored again.
   std::vector<std::string> take_dropped();
 
-  /// The whole state in one message, without the turns' bodies.
+  /// The whole state in one message, without turn bodies.
   [[nodiscard]] wire::RecordSnapshot snapshot() const;
-  /// The state as of now, in parts.
+  /// The current state, split into parts.
   [[nodiscard]] snapshot_image image(std::size_t part_bytes) const;
-  /// @param snapshot its turns may come with their bodies.
+  /// Replaces the state.
+  /// @param snapshot its turns may include their bodies.
   void restore(wire::RecordSnapshot snapshot);
 
-  /// The partition's time by which permits are counted.
+  /// The time of the partition by which permits are counted.
   [[nodiscard]] tenants::quota_time quota_time() const { return quota_time_; }
   [[nodiscard]] std::size_t programs() const { return programs_.size(); }
   [[nodiscard]] std::size_t turns() const { return turns_.size(); }
-  /// Encoded size of the turns with their bodies.
+  /// Encoded size of the stored turns, including their bodies, in bytes.
   [[nodiscard]] std::size_t turn_bytes() const { return turn_bytes_; }
 
 private:
-  /// A program's account, in tokens.
+  /// The token account of a program.
   struct program {
     std::uint64_t spent = 0;
-    std::uint64_t reserved = 0; // the sum of `open`
+    std::uint64_t reserved = 0; // sum of `open`
     std::map<std::string, std::uint64_t> open;
-    /// Attempts whose end is known; a late copy of their beginning is refused.
+    /// Attempts that have ended; a late copy of their beginning is refused.
     std::set<std::string> closed;
     std::uint64_t expires_ms = 0;
   };
@@ -75,16 +75,17 @@
   wire::RecordReplyItem keep(const wire::KeepTurns &copies);
   wire::RecordReplyItem end(const wire::EndTurn &ended);
   wire::RecordReplyItem reserve(const wire::ReserveQuota &wanted);
-  /// @return null when there is none, or it has expired.
+  /// @return null when there is no account or it has expired.
   [[nodiscard]] const program *find_account(const std::string &id) const;
-  /// Adds what a grant tells besides its verdict.
+  /// Adds the balance, and for a granted turn its history and place.
   void add_grant_details(const wire::BeginTurn &wanted, const program &account,
                          wire::RecordReplyItem &reply) const;
-  /// The account, without what has expired.
+  /// The account, created or reset if it does not exist or has expired, with
+  /// its expiry extended.
   program &account_of(const std::string &id, std::uint64_t keep_ms);
-  /// @return null when it was never kept or has expired. What has expired is
-  /// absent from its time on, whether a sweep has been over it or not, so that
-  /// replicas which sweep at other times still agree.
+  /// @return null when the turn is not stored or has expired. An expired turn
+  /// counts as absent whether or not a sweep has removed it, so that replicas
+  /// that sweep at different times agree.
   [[nodiscard]] const stored_turn *find_turn(const std::string &id) const;
   void keep(const wire::RecordTurn &turn, std::uint64_t keep_ms);
   void add_history(const std::string &last, wire::RecordReplyItem &reply) const;
--- a/src/records/snapshot_transfer.cpp
+++ b/src/records/snapshot_transfer.cpp
@@ -21,7 +21,7 @@
   if (!of_current) {
     return;
   }
-  // A follower that was started anew begins with the first part again.
+  // A restarted follower requests the first part again.
   const bool moved = progress.next_part() != current_->next_part;
   current_->next_part = progress.next_part();
   current_->sent = current_->sent && !moved;
@@ -82,7 +82,7 @@
     collected_.Clear();
   }
   if (part.part() != next_part_) {
-    return false; // a copy, or the parts before it were lost with a process
+    return false; // a duplicate, or the earlier parts were lost in a restart
   }
   wire::RecordSnapshot &records = *part.mutable_records();
   collected_.set_time_ms(records.time_ms());
--- a/src/records/snapshot_transfer.hpp
+++ b/src/records/snapshot_transfer.hpp
@@ -1,7 +1,7 @@
-// Snapshots on their way from a partition's leader to followers, in parts. One
-// follower gets one part at a time: the next leaves when it has told that it
-// holds the one before, so that a transfer never has more than a part of the
-// link, and heartbeats and entries pass between. Pure, like `record_node`.
+// Transfers snapshots from a partition's leader to followers in parts. One
+// follower at a time is sent one part at a time: the next part is sent once the
+// previous one is acknowledged, so that heartbeats and entries can use the link
+// in between. Performs no I/O; the caller sends the parts.
 #pragma once
 
 #include "base/ids.hpp"
@@ -19,45 +19,48 @@
 
 struct snapshot_transfer_options {
   std::size_t part_bytes = std::size_t{96} << 10U;
-  /// A part that is not acknowledged is sent again after this long.
+  /// Retransmission timeout of a part.
   duration_ms resend_after{600};
-  /// A follower that acknowledges nothing for this long is given up; it is
-  /// asked for again when it is heard of.
+  /// A transfer without any acknowledgement for this long is abandoned. It
+  /// starts again when the follower is next found to need a snapshot.
   duration_ms give_up_after{3000};
 };
 
-/// The leader's side. Followers are served one after the other.
+/// The sending side, on the leader. Followers are served one after the other.
 class snapshot_sender {
 public:
-  /// What is sent: a header without records, and the state that belongs to it.
+  /// The content of a transfer: a header without records, and the state it
+  /// describes.
   struct source {
     wire::SnapshotRequest header;
     snapshot_image image;
   };
   using take_source = std::function<source(std::size_t part_bytes)>;
 
-  /// A part to be sent now.
+  /// One part to send and its recipient.
   struct part {
     replica_id to;
     wire::SnapshotRequest request;
-    /// Set on the first part of a transfer that begins.
+    /// True when a new transfer begins with this part.
     bool begins = false;
   };
 
   explicit snapshot_sender(snapshot_transfer_options options)
       : options_(options) {}
 
-  /// A follower lacks entries that the log has dropped.
+  /// Queues a follower that lacks entries which the log has dropped.
   void enqueue(const replica_id &follower);
-  /// A follower holds all parts before `progress.next_part`.
+  /// Handles an acknowledgement: the follower holds all parts before
+  /// `progress.next_part`.
   void on_progress(const wire::SnapshotProgress &progress, timestamp now);
-  /// A follower that needs nothing more: removed, or dead.
+  /// Cancels the transfer to a follower that was removed or is dead.
   void cancel(const replica_id &follower);
-  /// Forgets everything: this node does not lead any more.
+  /// Cancels all transfers, after the loss of leadership.
   void clear();
 
-  /// @param take called when a transfer begins; the state is as of then.
-  /// @return the part that is due, if any.
+  /// Returns the part that is due, if any, and starts the next transfer when
+  /// none is in progress.
+  /// @param take called when a transfer begins; provides the current state.
   std::optional<part> next_due(timestamp now, const take_source &take);
 
 private:
@@ -75,19 +78,19 @@
   std::optional<transfer> current_;
 };
 
-/// The follower's side: collects the parts of one snapshot.
+/// The receiving side, on a follower: assembles the parts of one snapshot.
 class snapshot_receiver {
 public:
-  /// Takes in a part, whose records are moved away.
-  /// @return true when the snapshot is complete; `take` yields it then.
+  /// Adds a part; its records are moved out of the message.
+  /// @return true when the snapshot is complete and `take` returns it.
   bool receive(wire::SnapshotRequest &part);
-  /// What to tell the leader after a part of that snapshot.
+  /// The number of the next part that is needed, for the acknowledgement.
   [[nodiscard]] std::uint32_t next_part() const { return next_part_; }
   wire::RecordSnapshot take();
 
 private:
-  /// Which snapshot is being collected. Another leader's image of the same
-  /// index may be cut otherwise.
+  /// Identify the snapshot being assembled. The term is included because
+  /// another leader may divide the state at the same index differently.
   std::uint64_t term_ = 0;
   std::uint64_t last_index_ = 0;
   std::uint32_t next_part_ = 0;
--- a/src/records/turn_bodies.cpp
+++ b/src/records/turn_bodies.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// @return how many turns were missing.
+/// @return the number of missing turns.
 std::size_t fill_turn_bodies(wire::RecordReplyItem &item, turn_bodies &bodies) {
   std::size_t missing = 0;
   for (wire::RecordTurn &turn : *item.mutable_history()) {
@@ -18,7 +18,8 @@
     }
   }
   if (missing > 0) {
-    // Another conversation than the caller's would be gone on with.
+    // With a partial history the program would continue a different
+    // conversation.
     item.clear_history();
     item.set_verdict(wire::RECORD_UNAVAILABLE);
   }
@@ -56,7 +57,7 @@
                     std::vector<wire::RecordTurn> &taken) {
   for (wire::RecordKeptTurn &kept : *snapshot.mutable_turns()) {
     if (kept.bytes() != 0) {
-      continue; // came without its body
+      continue; // carries no body
     }
     kept.set_bytes(kept.turn().ByteSizeLong());
     wire::RecordTurn named = without_body(kept.turn());
--- a/src/records/turn_bodies.hpp
+++ b/src/records/turn_bodies.hpp
@@ -1,6 +1,7 @@
-// The inputs and outputs of kept turns, which lie on the disk. The reducer and
-// what it wants sent only name them; they are read when a message leaves, so
-// that the memory of a node does not grow with what conversations have said.
+// Access to the bodies (input and output) of stored turns. The replicated state
+// and the messages it creates only name turns; bodies are read from disk when a
+// message is sent, so that memory use does not grow with the size of
+// conversations.
 #pragma once
 
 #include "wire/messages.hpp"
@@ -12,12 +13,12 @@
 
 namespace heathtrestle::records {
 
-/// Where whole turns are read from.
+/// Reads turns with their bodies.
 class turn_bodies {
 public:
   virtual ~turn_bodies() = default;
 
-  /// @return nothing when the turn is not there, or cannot be read.
+  /// @return nothing when the turn does not exist or cannot be read.
   virtual std::optional<wire::RecordTurn> read(const std::string &id) = 0;
 
 protected:
@@ -26,19 +27,20 @@
   turn_bodies &operator=(const turn_bodies &) = default;
 };
 
-/// Completes the turns that a message names: the histories of a reply, the
-/// turns of a snapshot's part. A history that lacks a turn is not told at all.
-/// A turn that has expired since the snapshot began stays without its body:
-/// entries from before the expiry must decide on the follower as they did
-/// elsewhere.
-/// @return how many turns of histories were missing.
+/// Adds the bodies of the turns that a message names: histories in a reply, and
+/// turns in a part of a snapshot. A history with a missing turn is removed and
+/// its item marked unavailable. A turn of a snapshot that has expired meanwhile
+/// stays without its body, because log entries from before the expiry must
+/// decide the same on the follower as elsewhere.
+/// @return the number of history turns that were missing.
 std::size_t fill_turn_bodies(wire::Envelope &message, turn_bodies &bodies);
 
-/// Moves the whole turns out of a snapshot and leaves their names behind.
+/// Moves turns with bodies out of a snapshot and leaves them there without
+/// bodies.
 void extract_bodies(wire::RecordSnapshot &snapshot,
                     std::vector<wire::RecordTurn> &taken);
 
-/// A turn without its input and output.
+/// A copy of the turn without its input and output.
 wire::RecordTurn without_body(const wire::RecordTurn &turn);
 
 } // namespace heathtrestle::records
