--- a/src/records/node_load.cpp
+++ b/src/records/node_load.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Short enough to see what a return of the whole fleet is busy with, which
-/// lasts some seconds; a line a second costs a node nothing that shows.
+/// Short enough to show the load while the whole fleet reconnects, which lasts
+/// a few seconds.
 constexpr duration_ms report_interval{1000};
 
 constexpr std::array<std::string_view, message_kinds> kind_names{
--- a/src/records/node_load.hpp
+++ b/src/records/node_load.hpp
@@ -1,7 +1,7 @@
-// What a storage node is kept busy with, second by second: the messages that
-// it takes in by kind, the questions among them that it had been asked before,
-// how long messages wait for their turn, and where its thread's time goes.
-// Tells whether a node that answers late is overrun, and by what.
+// Load statistics of a storage node, logged every second: messages received by
+// kind, repeated requests, queue length and waiting time, and the time its
+// thread spends in each phase of a step. They show whether a node that replies
+// late is overloaded, and by what.
 #pragma once
 
 #include "base/time.hpp"
@@ -16,7 +16,7 @@
 
 namespace heathtrestle::records {
 
-/// Kinds of messages that cost a node differently.
+/// Kinds of messages, grouped by processing cost.
 enum class message_kind : std::uint8_t {
   request,
   append_request,
@@ -29,19 +29,19 @@
 };
 constexpr std::size_t message_kinds = 8;
 
-/// Parts of a step.
+/// Phases of a step.
 enum class step_phase : std::uint8_t {
-  /// Messages are reduced.
+  /// Messages and timers are processed.
   reduce,
-  /// The disk takes what is to last.
+  /// Changes are written to disk.
   write,
-  /// Committed entries are applied, and what was kept is written.
+  /// Committed entries are applied and new turns are stored.
   apply,
-  /// Bodies of turns are read for histories and snapshots.
+  /// Turn bodies are read for histories and snapshots.
   read_bodies,
-  /// Messages are encoded and handed to the transport.
+  /// Messages are encoded and passed to the transport.
   send,
-  /// A snapshot is written.
+  /// The log is compacted into a snapshot.
   compact,
 };
 constexpr std::size_t step_phases = 6;
@@ -50,21 +50,19 @@
 std::string_view name_of(step_phase phase);
 message_kind kind_of(const wire::Envelope &envelope);
 
-/// Sums since some moment.
+/// Totals over one reporting interval.
 struct load_totals {
   std::array<std::uint64_t, message_kinds> messages{};
   std::array<std::chrono::microseconds, step_phases> spent{};
-  /// Questions that were taken up, and copies of questions that were being
-  /// answered already.
+  /// New request items, and retransmissions of items still being processed.
   std::uint64_t requests = 0;
   std::uint64_t repeated_requests = 0;
-  /// Questions that were answered without an entry of the log.
+  /// Request items answered without a log entry.
   std::uint64_t settled_requests = 0;
-  /// Turns with their bodies that went out in answers, and the bytes of their
-  /// bodies.
+  /// Turns sent in histories, and the size of their bodies in bytes.
   std::uint64_t history_turns = 0;
   std::uint64_t history_bytes = 0;
-  /// The most messages that waited at once, and the longest that one waited.
+  /// Maximum number of messages queued, and longest time in the queue.
   std::size_t longest_queue = 0;
   duration_ms longest_wait{0};
 
@@ -76,8 +74,9 @@
   void on_message(const wire::Envelope &envelope) {
     ++totals_.messages[static_cast<std::size_t>(kind_of(envelope))];
   }
-  /// @param count messages that are taken from the queue now.
-  /// @param oldest when the first of them arrived.
+  /// Records that the queue was emptied.
+  /// @param count number of messages taken from the queue.
+  /// @param oldest arrival time of the first of them.
   void on_queue(std::size_t count, timestamp oldest, timestamp now);
   void on_requests(std::uint64_t taken, std::uint64_t repeated,
                    std::uint64_t settled);
@@ -86,8 +85,8 @@
     totals_.spent[static_cast<std::size_t>(phase)] += time;
   }
 
-  /// What came together since the last report, once a report is due; nothing of
-  /// a node that was idle meanwhile.
+  /// Returns the totals since the last report when a report is due and any
+  /// requests arrived.
   std::optional<load_totals> take_report(timestamp now);
 
 private:
@@ -95,10 +94,10 @@
   timestamp next_report_{};
 };
 
-/// Writes the report's line to the log.
+/// Writes the totals to the log.
 void log_load(const load_totals &totals);
 
-/// Adds the time that it lives to a part of the work.
+/// Adds its lifetime to a phase.
 class phase_timer {
 public:
   phase_timer(node_load &load, step_phase phase)
--- a/src/records/record_runtime.cpp
+++ b/src/records/record_runtime.cpp
@@ -21,37 +21,38 @@
 namespace {
 
 constexpr duration_ms tick_interval{50};
-/// After so many bytes of entries a snapshot is written, and the log before
-/// those kept for followers is dropped. A restart applies as much at most, and
-/// reads those kept for followers besides; a snapshot holds no bodies of turns
-/// and is small.
+/// A snapshot is written after this many bytes of log entries, and older
+/// entries are dropped except for those retained for followers. This bounds the
+/// entries that a restart applies; a snapshot holds no turn bodies and is
+/// small.
 constexpr std::uint64_t snapshot_after_bytes = 8U << 20U;
 constexpr const char *cluster_name = "records";
-/// How long what another leader told of emptied machines counts.
+/// Lifetime of a report of removable nodes from another leader.
 constexpr duration_ms report_lifetime{1000};
-/// What differs in a group of several partitions, whose nodes have small shares
-/// of a processor.
+/// Options for a group of several partitions, whose nodes have a small share of
+/// a processor.
 record_node_options small_node_options(record_node_options options) {
-  // A turn waits up to this long twice; the messages between the nodes and the
-  // writes are far fewer.
+  // Delays each turn by up to twice this time but greatly reduces the number of
+  // messages and disk writes.
   options.batch_interval = duration_ms{25};
-  // Whoever follows anew is sent the whole state, which costs more than waiting
-  // for the nodes that are coming back.
+  // A new follower needs a transfer of the whole state, which costs more than
+  // waiting for restarting nodes.
   options.recruit_after = duration_ms{2000};
   options.replace_after = duration_ms{3000};
-  // A node that is busy is not gone.
+  // Tolerates the delays of a busy node.
   options.raft.election_timeout = duration_ms{500};
   options.liveness_timeout = duration_ms{1200};
   return options;
 }
 
-/// What the allocator has handed out and not been given back.
+/// Bytes allocated and not freed.
 std::size_t heap_bytes() {
   const struct mallinfo2 info = ::mallinfo2();
   return info.uordblks + info.hblkhd;
 }
 
-/// Ends the process where what it promises from here on might not be kept.
+/// Exits when a write fails, since later acknowledgements would promise state
+/// that is not durable.
 void exit_on_failure(const result<void> &done) {
   if (!done) {
     logging::write(logging::event::record_storage_failed,
@@ -77,7 +78,7 @@
   for (std::size_t number = 0; number < count; ++number) {
     const std::string folder =
         number == 0 ? directory : fmt::format("{}/{}", directory, number);
-    std::error_code ignored; // an unusable folder is told by the database
+    std::error_code ignored; // opening the database reports the failure
     std::filesystem::create_directories(folder, ignored);
     auto disk = storage::log_storage::open(folder, identity);
     if (!disk) {
@@ -251,7 +252,7 @@
   }
   const std::size_t number = envelope.record_partition();
   if (number >= partitions_.size()) {
-    return; // of a group with more partitions than the settings say
+    return; // the sender is configured with more partitions
   }
   if (envelope.has_record_emptied()) {
     const auto &names = envelope.record_emptied().names();
@@ -287,7 +288,8 @@
 }
 
 void record_runtime::send_removable_nodes() {
-  // The first partition's leader reports for all; the others tell it.
+  // The leader of the first partition reports for all partitions, so the other
+  // leaders send it their results.
   for (std::size_t number = 1; number < partitions_.size(); ++number) {
     const record_node &node = *partitions_[number].node;
     const std::set<std::string> names = node.removable_nodes(steady_now());
@@ -376,7 +378,7 @@
   if (std::exchange(behind.apply_scheduled, true)) {
     return;
   }
-  // Behind whatever has arrived meanwhile, so that others are answered.
+  // Posted, so that messages that have arrived are processed first.
   asio::post(io_, [this, number] {
     partitions_[number].apply_scheduled = false;
     step(number);
--- a/src/records/record_runtime.hpp
+++ b/src/records/record_runtime.hpp
@@ -1,6 +1,6 @@
-// Runs one storage node: takes messages from the network, writes to the disk,
-// and carries out what the reducers want. One reducer for each partition of the
-// record group; they share the node's identity, address and thread.
+// Runs a storage node: receives messages, writes to disk and carries out the
+// effects of its state machines. There is one `record_node` per partition of
+// the record group; they share the identity, address and thread of the node.
 #pragma once
 
 #include "records/node_load.hpp"
@@ -21,15 +21,15 @@
 
 namespace heathtrestle::records {
 
-/// One partition's replica on this node, as it was found on the disk.
+/// The storage of one partition's replica and the state read from it.
 struct partition_disk {
   std::unique_ptr<storage::log_storage> disk;
   storage::recovered_state recovered;
 };
 
-/// Opens the databases of all partitions; those behind the first have folders
-/// of their own, and the first one's identity.
-/// @param fresh_identity the identity of a disk that is empty.
+/// Opens the databases of all partitions. Each partition after the first has a
+/// folder of its own and takes the identity of the first.
+/// @param fresh_identity identity for an empty disk.
 result<std::vector<partition_disk>>
 open_partitions(const std::string &directory, std::size_t count,
                 std::uint64_t fresh_identity);
@@ -37,43 +37,43 @@
 class record_runtime {
 public:
   /// @param self name, address and zone of this node.
-  /// @param disks one for each partition; one at least.
-  /// @param options of each partition; its number is filled in here.
+  /// @param disks one for each partition; at least one.
+  /// @param options used for every partition; the partition number is set here.
   record_runtime(asio::io_context &io, const wire::RecordMember &self,
                  std::vector<partition_disk> disks,
                  record_node_options options);
 
-  /// Starts to listen at `address` ("ip:port") and to tick.
+  /// Listens at `address` ("ip:port") and starts the periodic steps.
   result<void> start(const std::string &address);
 
   [[nodiscard]] const wire::RecordMember &self() const;
-  /// True when it is known of each partition who leads it.
+  /// True when the leader of every partition is known.
   [[nodiscard]] bool knows_leader() const;
-  /// True while this node leads some partition.
+  /// True while this node leads at least one partition.
   [[nodiscard]] bool leads_any() const;
-  /// True when this node has a part in the group, of any partition.
+  /// True when this node belongs to the group of at least one partition.
   [[nodiscard]] bool has_group() const;
-  /// Makes this node the founder of every partition.
+  /// Creates the groups of all partitions with this node as the only voter.
   void bootstrap();
-  /// Storage nodes that the object store or a peer knows of.
+  /// Adds storage nodes listed by the object store or by a peer.
   void learn_members(const wire::RecordMembers &members);
 
-  /// Gets what gateways ask of this node's copies of watched objects.
+  /// Sets the handler of gateway subscriptions to watched objects.
   void on_follow(std::function<void(const wire::FollowObjects &)> handler) {
     follow_handler_ = std::move(handler);
   }
-  /// Sends a message that concerns no partition.
+  /// Sends a message that belongs to no partition.
   void send_to(const std::string &address, const wire::Envelope &envelope) {
     transport_->send(address, envelope);
   }
 
-  /// Names of the nodes whose machines are to be emptied.
+  /// Sets the names of the nodes that the operator wants to remove.
   void set_retiring(const std::set<std::string> &names);
-  /// True when this node is the one that reports on emptied machines: the first
-  /// partition's leader.
+  /// True while this node reports on retiring nodes for the whole group, i.e.
+  /// leads the first partition.
   [[nodiscard]] bool is_retirement_reporter() const;
-  /// Machines that hold nothing which the others lack, in any partition. What
-  /// other leaders told counts for a second.
+  /// Names of the retiring nodes that can be shut down in every partition.
+  /// Reports of other leaders are used for one second.
   [[nodiscard]] std::set<std::string> removable_nodes() const;
 
   /// Counters and gauges in the Prometheus text format.
@@ -83,42 +83,43 @@
   struct partition {
     std::unique_ptr<storage::log_storage> disk;
     std::unique_ptr<record_node> node;
-    /// What its leader told last of emptied machines, when another node leads.
+    /// Last report of removable nodes from the leader, when another node leads.
     std::set<std::string> reported_removable;
     timestamp reported_at{};
     std::unique_ptr<asio::steady_timer> batch_timer;
     bool batch_timer_armed = false;
-    /// Another step is posted, to apply what the last one left.
+    /// A step that applies the remaining entries is scheduled.
     bool apply_scheduled = false;
   };
 
   void on_message(wire::Envelope envelope);
   void process_arrived();
   void receive(wire::Envelope envelope);
-  /// Steps again when questions that wait to be joined are due.
+  /// Schedules a step for the time at which queued requests are to be proposed.
   void arm_batch_timer(std::size_t number);
   void step(std::size_t number);
-  /// Steps again soon for entries that one step left unapplied.
+  /// Schedules a step that applies the entries left by the last one.
   void schedule_apply(std::size_t number);
   void send(std::size_t number, std::vector<addressed_message> &messages);
   void write(partition &written, record_effects &effects);
-  /// Completes the turns that messages name.
+  /// Adds the turn bodies to messages.
   void fill_turn_bodies(std::size_t number,
                         std::vector<addressed_message> &messages);
-  /// Notes the turns with their bodies that an answer brings.
+  /// Counts the history turns in a reply.
   void count_history(const wire::Envelope &envelope);
   void compact(partition &compacted);
   void send_removable_nodes();
-  /// Logs what the node was kept busy with, once a second.
+  /// Logs the load statistics once a second.
   void report_load();
-  /// The reducer's part of a step.
+  /// First half of a step, up to the write.
   record_effects reduce(partition &stepped);
-  /// The part of a step behind the write.
+  /// Second half of a step, after the write.
   record_effects apply(partition &stepped);
   asio::awaitable<void> tick();
 
   asio::io_context &io_;
-  std::minstd_rand random_{std::random_device{}()}; // before what draws from it
+  std::minstd_rand random_{
+      std::random_device{}()}; // initialized before its users
   std::vector<partition> partitions_;
   std::set<std::size_t> partitions_with_input_;
   std::function<void(const wire::FollowObjects &)> follow_handler_;
--- a/src/records/store_process.cpp
+++ b/src/records/store_process.cpp
@@ -24,11 +24,11 @@
 namespace {
 
 constexpr std::uint32_t status_not_found = 404;
-/// One watching call of a relay waits this long: with it ends the time in which
-/// a store that holds the call without ever answering goes unnoticed.
+/// Maximum duration of one watch call. It bounds the time for which an object
+/// store that accepts a call and never replies goes unnoticed.
 constexpr duration_ms relay_wait{8000};
 
-/// What is watched for the gateways that follow this node.
+/// Watch options of the objects relayed to gateways.
 std::vector<objects::watch_options>
 relayed_kinds(const store_settings &settings, const store_binding &binding) {
   std::vector<objects::watch_options> watches{
@@ -182,8 +182,8 @@
   runtime::process_signals signals(
       io,
       [] {
-        // Every acknowledgement is on the disk already: there is nothing to
-        // finish, and the group elects another leader in a moment.
+        // All acknowledged state is durable, so nothing has to be finished
+        // before exiting; the group elects another leader.
         logging::line(logging::event::daemon_stopped).write();
         std::_Exit(EXIT_SUCCESS);
       },
