--- a/src/storage/log_storage.cpp
+++ b/src/storage/log_storage.cpp
@@ -22,11 +22,10 @@
     "NULL);"
     "CREATE TABLE IF NOT EXISTS turns(id TEXT PRIMARY KEY, body BLOB NOT "
     "NULL);";
-/// The exclusive lock keeps the index of the write-ahead log in this process's
-/// memory instead of in a file that is shared; full synchronisation syncs each
-/// commit. What is carried over from the write-ahead log in one go holds up the
-/// answers of a node with a small share of a processor, so it is 1 MB at a
-/// time.
+/// The exclusive lock keeps the index of the write-ahead log in process memory
+/// instead of a shared file; full synchronization syncs each commit.
+/// Checkpoints are limited to 1 MB, since a longer one delays the replies of a
+/// node with a small share of a processor.
 constexpr const char *pragmas = "PRAGMA locking_mode=EXCLUSIVE;"
                                 "PRAGMA journal_mode=WAL;"
                                 "PRAGMA synchronous=FULL;"
@@ -41,15 +40,16 @@
 constexpr std::string_view key_members = "members";
 constexpr std::string_view key_applied = "applied";
 
-/// Turns are written when they come to so many bytes: some eight of the usual
-/// ones, in one transaction. Until then their entries bring them back.
+/// Buffered turns are written in one transaction when they reach this size.
+/// Until then their log entries restore them.
 constexpr std::size_t max_unwritten_bytes = std::size_t{128} << 10U;
-/// Entries that a snapshot has made needless are deleted a few with each write:
-/// SQLite walks all pages of each.
+/// Obsolete log entries deleted with each write. They are deleted gradually
+/// because SQLite visits all pages of each.
 constexpr std::uint64_t entries_deleted_at_once = 8;
 
-/// Hard state and base are kept as messages that exist for the wire. Of the
-/// hard state, the last index is that of the last settled change of voters.
+/// Hard state and log base are encoded as existing wire messages. In the
+/// encoded hard state, the last index is that of the last completed change of
+/// voters.
 std::string encode(const raft::hard_state &hard) {
   wire::VoteRequest message;
   message.set_term(hard.term);
@@ -98,13 +98,14 @@
 
 } // namespace
 
-/// The connection, and the statement that is used most.
+/// The database connection and its most frequently used statement.
 struct log_storage::database {
   using statement = std::unique_ptr<sqlite3_stmt, int (*)(sqlite3_stmt *)>;
 
   sqlite3 *handle = nullptr;
   std::string path;
-  /// Made with its first use; SQLite keeps the connection until it is gone.
+  /// Prepared on first use. `sqlite3_close_v2` keeps the connection open until
+  /// the statement is finalized.
   statement read_turn{nullptr, &sqlite3_finalize};
 
   ~database() { sqlite3_close_v2(handle); }
@@ -177,7 +178,8 @@
     return outcome::success();
   }
 
-  /// Runs `work` in a transaction. @return the first failure.
+  /// Runs `work` in a transaction and rolls back if it fails.
+  /// @return the first failure.
   template <typename Work> result<void> transact(Work work) {
     auto begun = execute("BEGIN IMMEDIATE", "begin");
     if (!begun) {
@@ -211,7 +213,7 @@
   if (!configured) {
     return configured.error();
   }
-  const auto made = opened->execute(schema, "make tables");
+  const auto made = opened->execute(schema, "create tables");
   if (!made) {
     return made.error();
   }
@@ -358,13 +360,13 @@
       sqlite3_reset(remove.get());
       database::bind_text(remove.get(), 1, id);
       if (sqlite3_step(remove.get()) != SQLITE_DONE) {
-        return database_->failure("drop a turn");
+        return database_->failure("delete a turn");
       }
     }
     turns_to_delete_.clear();
   }
   if (!unwritten_turns_.empty()) {
-    // A turn never changes: one that a replayed entry brings again is there.
+    // Turns never change, so one that a replayed entry brings again is ignored.
     const auto insert = database_->prepare(
         "INSERT OR IGNORE INTO turns(id, body) VALUES(?, ?)");
     for (const auto &[id, turn] : unwritten_turns_) {
@@ -372,7 +374,7 @@
       database::bind_text(insert.get(), 1, id);
       database::bind(insert.get(), 2, turn.SerializeAsString());
       if (sqlite3_step(insert.get()) != SQLITE_DONE) {
-        return database_->failure("keep a turn");
+        return database_->failure("insert a turn");
       }
     }
     unwritten_turns_.clear();
@@ -388,7 +390,7 @@
       BOOST_OUTCOME_TRY(database_->put_meta(key_hard, encode(*changes.hard)));
     }
     if (changes.installed && snapshot != nullptr) {
-      // The snapshot replaces the whole log, also what lies behind it.
+      // The snapshot replaces the whole log, including entries after its index.
       BOOST_OUTCOME_TRY(
           database_->delete_log("DELETE FROM log WHERE idx >= ?", 0));
       BOOST_OUTCOME_TRY(flush_turns());
@@ -434,7 +436,7 @@
       "SELECT IFNULL(SUM(LENGTH(entry)), 0) FROM log WHERE idx > ?");
   sqlite3_bind_int64(left.get(), 1, static_cast<sqlite3_int64>(base.index));
   if (sqlite3_step(left.get()) != SQLITE_ROW) {
-    return database_->failure("measure the log");
+    return database_->failure("read the size of the log");
   }
   log_bytes_ = static_cast<std::uint64_t>(sqlite3_column_int64(left.get(), 0));
   return outcome::success();
@@ -452,7 +454,7 @@
   sqlite3_bind_int64(remove.get(), 2,
                      static_cast<sqlite3_int64>(entries_deleted_at_once));
   if (sqlite3_step(remove.get()) != SQLITE_DONE) {
-    return database_->failure("delete needless entries");
+    return database_->failure("delete obsolete log entries");
   }
   if (sqlite3_changes(database_->handle) == 0) {
     obsolete_through_ = 0;
--- a/tests/storage/log_storage_test.cpp
+++ b/tests/storage/log_storage_test.cpp
@@ -158,7 +158,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.value().replica.base.index);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, state.value().replica.applied);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, state.value().replica.entries.size());
-    // Only what the snapshot lacks counts for the next one.
+    // Only entries after the snapshot count towards the next one.
     CPPUNIT_ASSERT_EQUAL(entry(4, 1).ByteSizeLong(),
                          storage->bytes_since_snapshot());
   }
@@ -174,7 +174,7 @@
       CPPUNIT_ASSERT_EQUAL(std::string("said in a"),
                            storage->read("a")->input());
       storage->drop({"a"});
-      CPPUNIT_ASSERT(storage->keep({turn("a")})); // kept anew
+      CPPUNIT_ASSERT(storage->keep({turn("a")})); // stored again
       wire::RecordSnapshot snapshot;
       snapshot.add_turns()->mutable_turn()->set_id("a");
       snapshot.add_turns()->mutable_turn()->set_id("c");
@@ -211,8 +211,8 @@
   }
 
   void a_torn_tail_leaves_the_last_whole_write() {
-    // A copy of the files taken while the database is open, its write-ahead log
-    // cut at every length: what a loss of power may leave.
+    // Copies the open database with its write-ahead log cut at every length, as
+    // a power loss may leave it.
     const auto storage = open();
     append(*storage, {entry(1, 1)});
     const auto wal = std::filesystem::path(directory_) / "records.db-wal";
