--- a/tests/records/group_placement_test.cpp
+++ b/tests/records/group_placement_test.cpp
@@ -1,7 +1,6 @@
-// What the plan of a group's members keeps of any layout of storage nodes:
-// which voters are left when a zone or a region goes. Groups are founded at
-// each partition's first node and grow, one change after the other, until
-// nothing is to be changed.
+// Checks the placement of voters over zones and regions for many layouts of
+// storage nodes. Each group starts at the preferred node of its partition and
+// grows until no change is planned.
 #include "records/membership_plan.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,8 +12,8 @@
 namespace heathtrestle::records {
 namespace {
 
-/// Regions with the same number of zones each; nodes are dealt to the zones in
-/// turn, or one zone after the other.
+/// Regions with equally many zones; nodes are assigned to the zones
+/// round-robin, or zone by zone.
 struct layout {
   std::size_t regions = 1;
   std::size_t zones_each = 1;
@@ -64,7 +63,8 @@
     });
   }
 
-  /// The zones of a partition's voters once nothing is to be changed any more.
+  /// Number of voters of a partition in each zone once no more changes are
+  /// planned.
   static std::map<std::size_t, std::size_t> voters_by_zone(const layout &built,
                                                            std::size_t number) {
     std::vector<node_view> nodes = nodes_of(built, number);
@@ -87,7 +87,7 @@
     return voters;
   }
 
-  /// The most voters of one partition that any region holds.
+  /// Maximum number of voters of one partition in any region.
   static std::size_t most_in_a_region(const layout &built) {
     std::size_t most = 0;
     for (std::size_t number = 0; number < partitions; ++number) {
@@ -116,7 +116,7 @@
   }
 
 public:
-  /// So three zones with voters bear the loss of any one.
+  /// With this bound, voters in three zones tolerate the loss of any one zone.
   void no_zone_holds_more_voters_than_it_must() {
     for_each_layout([](const layout &built) {
       std::map<std::size_t, std::size_t> room;
@@ -129,7 +129,7 @@
         return zone.second >= share;
       });
       if (!fits) {
-        return; // a full zone's share goes to the others
+        return; // other zones take the share of a zone with too few nodes
       }
       for (std::size_t number = 0; number < partitions; ++number) {
         for (const auto &[zone, held] : voters_by_zone(built, number)) {
@@ -139,7 +139,7 @@
     });
   }
 
-  /// Five voters in five of six zones: two in a region at the most.
+  /// Five voters are in five of six zones, so at most two are in one region.
   void three_regions_of_two_zones_bear_the_loss_of_any() {
     for_each_layout([](const layout &built) {
       const bool meant = built.regions == 3 && built.zones_each == 2 &&
@@ -148,8 +148,8 @@
     });
   }
 
-  /// The plan doesn't know regions: with three zones in each, a region may hold
-  /// three of five voters, and its loss stops that partition.
+  /// Regions are not considered by the plan: with three zones each, one region
+  /// may hold three of five voters, and its loss stops that partition.
   void regions_of_more_zones_may_hold_a_majority() {
     const layout three_by_three{3, 3, 18, true};
     CPPUNIT_ASSERT(most_in_a_region(three_by_three) >= majority);
--- a/tests/records/membership_plan_property_test.cpp
+++ b/tests/records/membership_plan_property_test.cpp
@@ -1,6 +1,7 @@
-// Random orders of what can happen to a group while its members are planned: a
-// planned change never takes the voters in touch below what the group promises
-// to bear, and once nothing happens any more every request is carried out.
+// Applies random faults and operator requests while membership changes are
+// planned. A planned change must never take the reachable voters below the
+// number needed for the tolerated losses, and once the faults end, all retiring
+// and dead voters must be replaced.
 #include "records/membership_plan.hpp"
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 namespace heathtrestle::records {
 namespace {
 
-/// The nodes as their leader sees them; changes are carried out at once.
+/// The leader's view of the nodes; planned changes take effect at once.
 class random_fleet {
 public:
   random_fleet(std::uint64_t seed, std::size_t losses, std::uint64_t nodes)
@@ -24,7 +25,7 @@
     nodes_.front().is_self = true;
   }
 
-  /// Something happens to a random node.
+  /// Applies a random event to a random node.
   void disturb() {
     const std::uint64_t place = random_() % nodes_.size();
     constexpr std::uint64_t kinds = 7;
@@ -49,7 +50,7 @@
     }
   }
 
-  /// @return false when nothing was to be changed.
+  /// @return false when no change is planned.
   bool change_once(const std::string &message, bool recruits) {
     const auto change =
         next_membership_change(nodes_, learners_, size_, recruits);
@@ -64,7 +65,8 @@
     return true;
   }
 
-  /// All that can come back does; nothing happens any more.
+  /// Recovers all nodes that can return and applies planned changes until none
+  /// is left.
   void settle(const std::string &message) {
     for (int round = 0; round < 200; ++round) {
       for (node_view &each : nodes_) {
@@ -104,13 +106,13 @@
     newest_ = std::max(newest_, node);
   }
 
-  /// Never all of them: the operator leaves somebody to serve.
+  /// Retires a node unless three or fewer usable nodes are left.
   void retire(node_view &node) {
     const auto usable = std::ranges::count_if(nodes_, can_serve);
     node.retiring = node.retiring || usable > 3;
   }
 
-  /// As many voters as the group bears are out of touch at the most.
+  /// At most as many voters as the group tolerates are unreachable at once.
   [[nodiscard]] bool may_lose_another() const {
     const auto holders = std::ranges::count_if(nodes_, holds_log);
     return holders > static_cast<std::ptrdiff_t>(size_.voters / 2 + 1);
@@ -146,7 +148,7 @@
     node.caught_up = learns && !node.votes;
   }
 
-  /// What must hold when a voter is taken out on purpose.
+  /// Checks the condition for removing a voter that holds the log.
   void check_leaving(const node_view &leaving, const std::string &message,
                      bool recruits) {
     if (!holds_log(leaving)) {
--- a/tests/records/membership_plan_test.cpp
+++ b/tests/records/membership_plan_test.cpp
@@ -151,8 +151,8 @@
   }
 
   void a_retiring_voter_stays_while_another_is_out_of_touch() {
-    // Of three voters one is silent: without the retiring one nobody is left to
-    // commit its removal.
+    // One of three voters is silent: without the retiring one no majority is
+    // left to commit its removal.
     nodes_[1].retiring = true;
     nodes_[2].alive = false;
     CPPUNIT_ASSERT(!next());
@@ -228,7 +228,7 @@
     }
     learners_ = {id(4), id(5)};
     CPPUNIT_ASSERT(!next());
-    nodes_[4].alive = false; // one of the two that follow is silent
+    nodes_[4].alive = false; // one of the two learners is silent
     CPPUNIT_ASSERT(std::get<add_learner>(*next()).replica == id(6));
   }
 
--- a/tests/records/record_group_test.cpp
+++ b/tests/records/record_group_test.cpp
@@ -1,5 +1,5 @@
-// The record group under losses: what it acknowledged is never lost, and it
-// serves again by itself.
+// Tests a simulated record group under faults: acknowledged changes are never
+// lost, and the group recovers without intervention.
 #include "support/record_group.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -56,7 +56,7 @@
   CPPUNIT_TEST(what_was_wanted_in_an_earlier_term_is_not_reserved);
   CPPUNIT_TEST_SUITE_END();
 
-  /// What the quota of `request_permit` allows in 5 s: 60 x 1.1 + 20.
+  /// Upper bound of the quota of `request_permit` in 5 s: 60 x 1.1 + 20.
   static constexpr std::size_t permits_allowed = 86;
 
   static std::size_t most_in_window(const std::vector<timestamp> &used) {
@@ -71,7 +71,7 @@
     return most;
   }
 
-  /// Asks all nodes for permits, far more than there are.
+  /// Requests far more permits from all nodes than the quota allows.
   static void request_permits(record_group &group, duration_ms span) {
     for (duration_ms passed{0}; passed < span; passed += 20ms) {
       for (const std::string &name : group.names()) {
@@ -96,7 +96,7 @@
     group.run(4000ms);
   }
 
-  /// Keeps `count` turns; all must be acknowledged within `patience`.
+  /// Stores `count` turns; all must be acknowledged within `patience`.
   static void keep(record_group &group, const std::string &prefix, int count,
                    duration_ms patience) {
     std::vector<std::uint64_t> asked;
@@ -109,7 +109,7 @@
     }
   }
 
-  /// Every turn that was acknowledged must be there to go on from.
+  /// Checks that every acknowledged turn can be continued.
   static void check_kept(record_group &group, const std::string &prefix,
                          int count) {
     std::vector<std::uint64_t> asked;
@@ -198,7 +198,7 @@
     group.heal();
     group.start("a");
     group.run(5000ms);
-    // c is behind and a is empty: they must not go on without b.
+    // c is behind and a is empty: they must not elect a leader without b.
     CPPUNIT_ASSERT(group.leader().empty());
     group.start("b");
     group.run(3000ms);
@@ -283,8 +283,8 @@
     keep(group, "t", 10, 500ms);
   }
 
-  /// Runs until the leader says that the node is emptied; the group never has
-  /// fewer voters than it is to have.
+  /// Runs until the leader reports the node as removable; the group must never
+  /// have fewer voters than configured.
   static void run_until_emptied(record_group &group, const std::string &name) {
     for (int step = 0; step < 400; ++step) {
       group.run(20ms);
@@ -297,14 +297,14 @@
         return;
       }
     }
-    CPPUNIT_FAIL("never emptied");
+    CPPUNIT_FAIL("the retiring node never became removable");
   }
 
   void a_group_keeps_its_voters_while_machines_are_emptied() {
     for (std::uint64_t seed = 80; seed < 84; ++seed) {
       record_group group(seed, group_size::tolerating(2, 4), 0, 4);
       start_five_voters(group);
-      // The leader too, and another one meanwhile.
+      // Retires the leader and another voter at the same time.
       const std::string leader_name = group.leader();
       const std::set<std::string> voters = group.voters();
       const std::string other =
@@ -328,7 +328,7 @@
       const std::string retired = *std::next(before.begin());
       group.retire(retired);
       run_until_emptied(group, retired);
-      group.wipe(retired); // its machine is gone with its disk
+      group.wipe(retired); // the machine is removed with its disk
       std::vector<std::string> wiped;
       for (const std::string &each : before) {
         if (each != retired && wiped.size() < 2) {
@@ -357,7 +357,7 @@
         group.cut(leader_name, name);
       }
     }
-    // The client still reaches all of them.
+    // The client can still reach all nodes.
     keep(group, "t", 10, 3000ms);
     group.heal();
     group.run(2000ms);
@@ -386,13 +386,14 @@
     for (int wave = 0; wave < 20; ++wave) {
       keep(group, fmt::format("w{}-", wave), 20, 300ms);
     }
-    // Heartbeats and greetings only, not the 80 KB that were recorded.
+    // Only heartbeats and hello messages are sent, not the 80 KB of log
+    // entries.
     CPPUNIT_ASSERT(group.undeliverable_bytes() - before < 40000);
   }
 
   void a_node_that_wakes_is_not_flooded() {
-    // Refusals of entries that were under way must not each bring the whole
-    // backlog again: a leader went over its memory by that.
+    // Rejections of entries in flight must not each cause the whole backlog to
+    // be sent again, which would exhaust the memory of the leader.
     record_group group(14);
     start_group(group, {"a", "b", "c"});
     const std::string frozen = group.leader() == "c" ? "b" : "c";
@@ -416,7 +417,7 @@
   }
 
   void a_slow_node_is_not_sent_the_same_again() {
-    // What was sent and is not yet acknowledged is on its way, not lost.
+    // Entries that are sent and not yet acknowledged are in flight, not lost.
     record_group group(15);
     start_group(group, {"a", "b", "c"});
     const std::string slow = group.leader() == "c" ? "b" : "c";
@@ -518,7 +519,7 @@
   }
 
   void questions_that_come_together_share_an_entry() {
-    // Two questions that wait for each other, or not.
+    // Compares runs without and with batching.
     std::uint64_t entries[2] = {};
     for (const bool joined : {false, true}) {
       record_group group(10);
@@ -527,7 +528,7 @@
       const auto before = group.at(group.leader()).log()->last_index();
       for (int turn = 0; turn < 6; ++turn) {
         group.keep_turn(fmt::format("j{}", turn));
-        group.run(250ms); // a question is sent every 200 ms
+        group.run(250ms); // requests are sent every 200 ms
       }
       group.run(1500ms);
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, group.unanswered());
@@ -539,7 +540,7 @@
   }
 
   void a_question_asked_again_is_recorded_once() {
-    // Whoever waits asks again every 200 ms, and what he asks for takes 300 ms.
+    // The client repeats a request every 200 ms, and its reply takes 300 ms.
     record_group group(41);
     start_group(group, {"a", "b", "c"});
     for (const char *name : {"a", "b", "c"}) {
@@ -554,15 +555,15 @@
                              before.value());
   }
 
-  // Storage nodes that answered late after a return of the whole fleet had
-  // three times as much to record as was asked.
+  // Guards against recording a retransmitted request again when its reply was
+  // late.
   void a_question_whose_answer_is_late_is_recorded_once() {
     record_group group(43);
     start_group(group, {"a", "b", "c"});
     const auto before = group.at(group.leader()).log()->last_index();
     group.lose_replies(true);
     const std::uint64_t id = group.keep_turn("late");
-    group.run(2000ms); // asked again every 200 ms
+    group.run(2000ms); // repeated every 200 ms
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, group.unanswered());
     group.lose_replies(false);
     group.run(500ms);
@@ -573,7 +574,7 @@
   }
 
   void the_lead_is_handed_over_while_questions_come() {
-    // Followers lag behind a leader that goes on proposing.
+    // Followers lag behind a leader that keeps proposing entries.
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
       std::string led_by[2];
       for (const bool busy : {false, true}) {
@@ -590,7 +591,7 @@
           }
           group.run(10ms);
         }
-        group.run(300ms); // an election may be under way
+        group.run(300ms); // an election may be in progress
         led_by[busy ? 1 : 0] = group.leader();
       }
       CPPUNIT_ASSERT_EQUAL(led_by[0], led_by[1]);
@@ -598,7 +599,8 @@
   }
 
   void every_node_names_the_leader() {
-    // A gateway of a large fleet asks any node first; most have no part.
+    // A gateway of a large fleet may contact any node first; most have no
+    // replica.
     record_group group(7, records::group_size::tolerating(2, 4), 0, 4);
     std::vector<std::string> names;
     for (char name = 'a'; name < 'a' + 20; ++name) {
@@ -613,7 +615,7 @@
         CPPUNIT_ASSERT_EQUAL(leader, group.leader_named_by(name));
       }
     }
-    // It does not name a leader for long that is gone.
+    // A leader that has failed is not named for long.
     group.kill(leader);
     group.run(6000ms);
     for (const std::string &name : names) {
@@ -624,7 +626,7 @@
   }
 
   void a_node_without_a_part_keeps_to_the_leader() {
-    // Three of eight nodes have no part in this partition.
+    // Three of eight nodes have no replica of this partition.
     record_group group(44, records::group_size::tolerating(2, 4), 0, 4);
     start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
@@ -635,7 +637,7 @@
     for (const std::string &name : group.names()) {
       CPPUNIT_ASSERT(group.at(name).knows_leader(group.now()));
     }
-    // It is found all the same when a voter is lost for good.
+    // Such a node is still found when a voter is lost for good.
     const std::string leader_name = group.leader();
     const std::set<std::string> voters = group.voters();
     for (const std::string &name : voters) {
@@ -650,14 +652,14 @@
   }
 
   void a_node_that_is_back_leads_before_it_has_applied_all() {
-    // All lose power; whoever leads then has the whole log to apply, and must
-    // not keep silent over that.
+    // After a power loss of all nodes, the new leader has the whole log to
+    // apply and must keep sending messages meanwhile.
     record_group group(45);
     group.options().entries_per_step = 4;
     start_group(group, {"a", "b", "c"});
     for (int turn = 0; turn < 60; ++turn) {
       group.keep_turn(fmt::format("t{}", turn));
-      group.run(210ms); // an entry each
+      group.run(210ms); // one entry each
     }
     for (const char *name : {"a", "b", "c"}) {
       group.kill(name);
@@ -688,7 +690,7 @@
     }
   }
 
-  /// Two voters of three remain, and the third machine is taken away.
+  /// Reduces a group of three voters to two and removes the third machine.
   static std::vector<std::string> shrink_to_two(record_group &group) {
     start_group(group, {"a", "b", "c"});
     const std::string retired = group.leader() == "c" ? "b" : "c";
@@ -702,9 +704,9 @@
   }
 
   void of_two_one_is_replaced_and_all_restart() {
-    // Played on the bench: nothing was granted again to the end of the day. The
-    // leader that had returned with its disk counted the old voters, one of
-    // them dead, for a change that had long been committed.
+    // Guards against a restarted leader counting the old voters, one of them
+    // dead, for a change that is already committed, so that nothing can be
+    // committed again.
     for (std::size_t wiped = 0; wiped < 2; ++wiped) {
       record_group group(60 + wiped);
       const std::vector<std::string> left = shrink_to_two(group);
@@ -723,8 +725,9 @@
   }
 
   void all_restart_at_any_step_of_a_replacement() {
-    // What is on the disks differs from step to step: the dead identity still
-    // votes, its successor follows, the change is proposed, is committed.
+    // The contents of the disks differ from step to step: the dead identity
+    // still votes, its successor follows, the change is proposed, and
+    // committed.
     for (std::size_t wiped = 0; wiped < 2; ++wiped) {
       for (int step = 0; step < 100; ++step) {
         record_group group(70 + wiped);
@@ -757,8 +760,8 @@
   }
 
   void a_change_that_was_committed_needs_no_old_voter_after_a_restart() {
-    // Two voters take a third one in. Then one of the two is gone for good, and
-    // the others restart before anybody takes its place.
+    // A group of two adds a third voter. Then one of the first two is lost for
+    // good, and the others restart before it is replaced.
     record_group group(77);
     start_group(group, {"a", "b"});
     keep(group, "t", 5, 500ms);
@@ -779,8 +782,8 @@
     }
   }
 
-  /// Machines are retired, lose their disks, come back and are added; between
-  /// and during that one of the others, or all, restart with their disks.
+  /// Machines are retired, wiped and added; between and during these changes
+  /// one of the others, or all, restart with their disks.
   static void run_random_changes(std::uint64_t seed) {
     record_group group(seed);
     start_group(group, {"a", "b", "c"});
@@ -850,7 +853,7 @@
                          group.logged(logging::event::record_member_added));
   }
 
-  /// @param losses machines that are struck at once.
+  /// @param losses number of machines that fail at once.
   static void
   run_random(std::uint64_t seed,
              const std::vector<std::string> &machines = {"a", "b", "c"},
@@ -1002,15 +1005,14 @@
     CPPUNIT_ASSERT(!group.verdict(id).has_value());
   }
 
-  /// What a leader wanted to reserve waited to be joined with other questions
-  /// while the lead was lost and won again, and was recorded in the new term:
-  /// a reservation that its desk knew nothing of.
+  /// Guards against committing a quota reservation of an earlier term after
+  /// leadership was lost and regained while it waited for its batch.
   void what_was_wanted_in_an_earlier_term_is_not_reserved() {
     record_group group(44);
     group.options().batch_interval = 3000ms;
     start_group(group, {"a"});
     group.keep_turn("t");
-    group.run(100ms); // whatever comes now is joined with later questions
+    group.run(100ms); // requests from now on wait for the next batch
     group.request_permit("a");
     group.run(100ms);
     group.claim_leadership("a", 1000);
--- a/tests/records/record_memory_test.cpp
+++ b/tests/records/record_memory_test.cpp
@@ -1,19 +1,6 @@
-// Storage nodes ran out of memory: by and by while turns were kept, and within
-// a second of every start once the whole group had restarted.
-//
-// Sequence: turns of some kilobytes are kept, more of them than the machine has
-// memory for, though its disk has room; then the process starts again. Cause:
-// each turn was held twice, in the log and in the state, the log in memory was
-// bounded by its entries and not by their bytes, and a start read the whole log
-// of up to 24 MB a partition back. Settled by `record_log_recovered`, base 0
-// with 2,657 and more entries in each of four partitions, and a process of 124
-// MB after a minute in which 0.6 to 1.5 MB a second came in.
-//
-// Later a run beside heavy compiling passed the bound now and then. The log in
-// memory was let grow to twice the bytes that it is to keep before any were
-// dropped: 7.90 MB of heap in each of 60 runs, 30 at a time, 1.3 % below the
-// bound, and 8.06 MB in the one run in which a request of 160 KB that was sent
-// again (151 messages for 150 requests) still waited when the heap was read.
+// Guards against memory use that grows with the stored turns: bodies must be
+// held on disk only, the log in memory must be bounded by bytes, and a restart
+// must not read back more of the log than memory holds.
 #include "records/record_runtime.hpp"
 
 #include "support/temporary_directory.hpp"
@@ -37,7 +24,8 @@
 constexpr std::size_t turn_bytes = 8000;
 constexpr std::size_t turns = 3000;
 constexpr std::size_t turns_a_request = 20;
-/// A third of what is kept; log, caches and indices need about a half of it.
+/// A third of the stored bytes; the log, caches and indices need about half of
+/// that.
 constexpr std::size_t most_heap_bytes = turn_bytes * turns / 3;
 constexpr std::uint64_t keep_ms = 600000;
 
@@ -61,7 +49,7 @@
 
 std::string id_of(std::size_t turn) { return fmt::format("turn-{}", turn); }
 
-/// One storage node that is the whole group, with its disk in `directory`.
+/// A group of a single storage node with its disk in `directory`.
 class running_node {
 public:
   running_node(const std::string &directory, bool is_first) {
@@ -84,7 +72,8 @@
     while (!reached() && std::chrono::steady_clock::now() < give_up) {
       io_.run_one_for(10ms);
     }
-    CPPUNIT_ASSERT_MESSAGE("waited in vain", reached());
+    CPPUNIT_ASSERT_MESSAGE("the condition was not reached within 30 s",
+                           reached());
   }
 
   [[nodiscard]] const std::string &address() const { return address_; }
@@ -95,7 +84,7 @@
   std::unique_ptr<record_runtime> runtime_;
 };
 
-/// Asks a node and collects its answers.
+/// Sends requests to a node and collects the replies.
 class record_client {
 public:
   record_client() {
@@ -106,7 +95,7 @@
     transport_ = std::move(started).value();
   }
 
-  /// Asks until all changes are answered.
+  /// Submits changes and repeats them until all are answered.
   /// @return the answers in order.
   std::vector<wire::RecordReplyItem>
   submit(running_node &node, const std::vector<wire::RecordChange> &changes) {
@@ -176,7 +165,7 @@
   return change;
 }
 
-/// Conversations of as many turns as one request keeps.
+/// Stores conversations with as many turns as one request contains.
 void keep_turns(running_node &node, record_client &client) {
   for (std::size_t first = 0; first < turns; first += turns_a_request) {
     std::vector<wire::RecordChange> changes;
--- a/tests/records/record_table_test.cpp
+++ b/tests/records/record_table_test.cpp
@@ -71,7 +71,7 @@
     return apply_to(table_, change, time_ms);
   }
 
-  /// As a node does it: the outcome with the bodies of its history.
+  /// Applies a change as a node does and adds the bodies to the history.
   wire::RecordReplyItem apply_to(record_table &table,
                                  const wire::RecordChange &change,
                                  std::uint64_t time_ms) {
@@ -117,7 +117,7 @@
           end("b", 0), end("cancelled", 0, "", true), read("c")}) {
       CPPUNIT_ASSERT(!table_.decided_outcome(change));
     }
-    // What has expired is not there, whether it was swept or not.
+    // An expired turn is absent whether it was swept or not.
     wire::RecordBatch later;
     later.set_time_ms(1000 + 10 * keep);
     table_.apply(later);
@@ -189,7 +189,8 @@
     record_table restored;
     apply(end("a", 0, "", true), 1000);
     restored.restore(table_.snapshot());
-    // One has just been restored and has not swept for a while.
+    // One of the tables has just been restored, the other has not swept for a
+    // while.
     constexpr std::uint64_t later = 1000 + 10 * keep;
     CPPUNIT_ASSERT_EQUAL(
         apply(begin("c", 1, 100, "a"), later).verdict(),
@@ -224,7 +225,7 @@
                          told.previous_place().instance());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1234}, told.previous_place().tokens());
     CPPUNIT_ASSERT(!apply(begin("t3", 5, 100)).has_previous_place());
-    // It outlasts a snapshot with the turn that it belongs to.
+    // The place is included in a snapshot.
     record_table copy;
     copy.restore(table_.snapshot());
     wire::RecordBatch batch;
@@ -274,11 +275,11 @@
   }
 
   void a_turn_that_expires_while_a_snapshot_travels_still_decides() {
-    // The follower applies entries from before the expiry, as the others did.
+    // The follower applies entries from before the expiry like the other nodes.
     apply(end("a", 0, "", true));
     wire::Envelope message;
     *message.mutable_snapshot_request()->mutable_records() = table_.snapshot();
-    bodies_.drop({"a"}); // the leader has swept it meanwhile
+    bodies_.drop({"a"}); // swept by the leader meanwhile
     fill_turn_bodies(message, bodies_);
     record_table restored;
     restored.restore(message.snapshot_request().records());
@@ -293,7 +294,8 @@
   void time_does_not_run_backwards() {
     apply(end("a", 0, "", true), 100000);
     apply(end("b", 0, "", true), 1000);
-    // Were the second kept from its own time on, it would be gone by now.
+    // With a lifetime counted from its own time the second turn would have
+    // expired.
     CPPUNIT_ASSERT_EQUAL(
         wire::RECORD_GRANTED,
         apply(begin("c", 1, 100, "b"), 100000 + keep).verdict());
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -1,20 +1,8 @@
-// After all machines had lost power and two of them their disks, two of four
-// partitions had no leader to the end of the day: half of all programs were
-// refused for 16 seconds, until they gave up.
-//
-// What happens: a node comes back without its disk, its partitions' leaders
-// copy the state to it, and until it votes a partition bears fewer losses.
-// Under load that took up to 15 s, as long as the group has. Causes, each in a
-// play of its own: a leader that is not the preferred voter handed the lead
-// over once it had led for 2 s, and the next one began the copy anew
-// (`snapshot_sent` for partition 1 at 27.08 s and at 29.53 s,
-// `record_snapshot_installed` at 40.53 s instead of 31 to 33 s); a node that
-// came to lead three partitions and kept them copied three states at once
-// (installed at 41.98 s and never); a node that held the state waited for its
-// vote until it was within eight entries of a log that grew by forty a second
-// (installed at 37.52 s, no `record_member_replaced` before 42.02 s, when two
-// more disks were lost). None of these partitions has a
-// `record_leadership_gained` afterwards.
+// Bringing a wiped node up to date under load must finish within the time in
+// which the group tolerates fewer losses. Guards against restarting the
+// snapshot transfer after a leadership transfer, sending the snapshots of
+// several partitions from one node at once, and denying a vote to a successor
+// that lags behind a busy log.
 #include "support/record_group.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -39,10 +27,10 @@
 
   static constexpr std::uint32_t partitions = 4;
   static constexpr std::size_t large_parts = 4096;
-  /// A promise of the group: a node that is back is whole within this long.
+  /// Time within which a wiped node must be a voter again.
   static constexpr duration_ms catch_up = 15s;
 
-  /// Eight nodes with a state that takes some seconds to copy.
+  /// Starts eight nodes with a state that takes some seconds to transfer.
   static void fill(record_group &group, std::size_t part_bytes = 256) {
     group.options().raft.retained_entries = 8;
     group.options().raft.held_entries = 512;
@@ -62,19 +50,20 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, group.unanswered());
   }
 
-  /// The leader loses its disk; all others stay.
+  /// Wipes and restarts the leader; all others keep running.
   /// @return its name.
   static std::string wipe_leader(record_group &group) {
     const std::string lost = group.leader();
     group.wipe(lost);
     group.run(1000ms);
     group.start(lost);
-    group.slow_down(lost, 60ms); // as long as a part takes on a busy machine
+    group.slow_down(lost, 60ms); // the delay of a part on a busy machine
     return lost;
   }
 
-  /// The leader loses its disk and comes back to a group that goes on recording
-  /// faster than it follows, until it votes. @return its name.
+  /// Wipes the leader and restarts it slowly under load until it is a voter
+  /// again.
+  /// @return its name.
   static std::string refill_under_load(record_group &group) {
     const std::string lost = wipe_leader(group);
     group.slow_down(lost, 400ms);
@@ -114,9 +103,8 @@
     }
   }
 
-  // In another play of the same day partition 1 had its state copied at 37.52
-  // s, and no `record_member_replaced` until 42.02 s: the node was to be within
-  // eight entries of a log that grew by forty a second.
+  // Guards against a successor of a dead voter never becoming a voter because
+  // the log grows faster than it catches up.
   void a_node_that_lags_behind_a_busy_group_votes() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
       record_group group(7, group_size::tolerating(2, partitions), partition,
@@ -148,8 +136,8 @@
     }
   }
 
-  /// All machines lose power at once, and two voters other than `spared` their
-  /// disks; all come back.
+  /// Kills all machines, wipes two voters other than `spared`, and restarts
+  /// all.
   static void lose_two_disks_and_all_power(record_group &group,
                                            const std::string &spared) {
     std::set<std::string> voters = group.voters();
--- a/tests/records/snapshot_transfer_test.cpp
+++ b/tests/records/snapshot_transfer_test.cpp
@@ -1,4 +1,5 @@
-// Snapshots travel in bounded parts, one at a time, and none is begun twice.
+// Snapshots are transferred in bounded parts, one at a time, and a transfer is
+// not restarted without need.
 #include "records/snapshot_transfer.hpp"
 
 #include "support/record_group.hpp"
@@ -189,7 +190,7 @@
   }
 
   void a_long_transfer_is_not_begun_again() {
-    // The log moves on by far more than it keeps while the parts travel.
+    // The log grows by far more than it retains during the transfer.
     record_group group(32);
     fill(group);
     const std::size_t before = group.logged(logging::event::snapshot_sent);
@@ -229,7 +230,7 @@
   }
 
 private:
-  /// Three nodes whose log has dropped its beginning.
+  /// Starts three nodes and fills the log until its beginning is dropped.
   static void fill(record_group &group) {
     group.options().snapshots.part_bytes = part_bytes;
     group.options().raft.retained_entries = 4;
--- a/tests/support/read_only_store.hpp
+++ b/tests/support/read_only_store.hpp
@@ -1,5 +1,5 @@
-// A base for stand-ins of the object store in tests of what only lists and
-// watches: all other calls fail.
+// Base class of fake object stores for code that only lists and watches
+// objects: all other calls fail, except `remove`.
 #pragma once
 
 #include "objects/object_store.hpp"
--- a/tests/support/record_group.hpp
+++ b/tests/support/record_group.hpp
@@ -1,5 +1,5 @@
-// Storage nodes in virtual time, with disks and a network that can be broken.
-// Deterministic: the same seed gives the same run.
+// A simulated record group in virtual time, with fake disks and a network whose
+// faults can be injected. The same seed gives the same run.
 #pragma once
 
 #include "records/record_node.hpp"
@@ -17,7 +17,7 @@
 
 namespace heathtrestle::test_support {
 
-/// What a node's disk holds; survives its process.
+/// The contents of a disk, which outlive the process of its node.
 struct fake_disk {
   boot_id identity;
   raft::saved_replica replica;
@@ -62,9 +62,10 @@
                                 .partition = partition,
                                 .partitions = partitions} {}
 
-  /// Of the nodes that are started from now on.
+  /// Options of nodes that are started from now on.
   records::record_node_options &options() { return options_; }
-  /// Adds a machine and starts its process; it knows all machines so far.
+  /// Adds a machine and starts its process, which knows all machines added so
+  /// far.
   void add(const std::string &name) {
     machines_[name].disk.identity = boot_id{random_()};
     start(name);
@@ -73,7 +74,7 @@
     machines_.at(name).node->bootstrap(now_, random_());
   }
   void kill(const std::string &name) { machines_.at(name).node.reset(); }
-  /// The machine comes back with an empty disk.
+  /// Kills the process and empties the disk.
   void wipe(const std::string &name) {
     kill(name);
     machines_.at(name).disk = {};
@@ -98,14 +99,14 @@
     isolated_.clear();
     cut_.clear();
   }
-  /// Nothing passes between the two, in either direction.
+  /// Drops all messages between two nodes.
   void cut(const std::string &one, const std::string &other) {
     cut_.insert({one, other});
     cut_.insert({other, one});
   }
-  /// Messages to the node take that much longer.
+  /// Adds a delay to messages to the node.
   void slow_down(const std::string &name, duration_ms by) { slow_[name] = by; }
-  /// Whether answers to the client are lost.
+  /// Sets whether replies to the client are lost.
   void lose_replies(bool lost) { replies_lost_ = lost; }
   void freeze(const std::string &name) { frozen_.insert(name); }
   void thaw(const std::string &name) { frozen_.erase(name); }
@@ -135,14 +136,14 @@
     }
   }
 
-  /// Asks for a change; asked again of every node until it is answered.
+  /// Submits a change and repeats it to every node until it is answered.
   std::uint64_t submit(wire::RecordChange change) {
     const std::uint64_t id = ++next_id_;
     unanswered_[id] = std::move(change);
     return id;
   }
-  /// A question to the leader that is not asked again; the next may come before
-  /// it is answered.
+  /// Sends a request to the leader without waiting for the reply or repeating
+  /// it.
   void submit_once(int number) {
     const std::string leader_name = leader();
     if (leader_name.empty()) {
@@ -157,8 +158,8 @@
     in_flight_.push_back(
         {now_, client_address, leader_name, std::move(envelope)});
   }
-  /// Asks one node once for a permit of a tenant that may send ten requests a
-  /// second, and ten at once.
+  /// Sends one request for a permit of a tenant that is limited to ten requests
+  /// a second with a burst of ten.
   void request_permit(const std::string &node) {
     wire::Envelope envelope;
     wire::RecordRequest &request = *envelope.mutable_record_request();
@@ -177,7 +178,7 @@
     permit_requests_[item.id()] = now_;
     in_flight_.push_back({now_, client_address, node, std::move(envelope)});
   }
-  /// A node that nobody knows says that it leads a later term.
+  /// Sends a heartbeat of an unknown leader with a later term.
   void claim_leadership(const std::string &to, std::uint64_t term) {
     wire::Envelope envelope;
     envelope.set_from(make_node_id("stranger").value());
@@ -188,7 +189,7 @@
     batch.add_heartbeats()->set_term(term);
     in_flight_.push_back({now_, client_address, to, std::move(envelope)});
   }
-  /// When requests were sent with permits that were not void by then.
+  /// Times at which permits were granted before they expired.
   [[nodiscard]] const std::vector<timestamp> &permits_used() const {
     return permits_used_;
   }
@@ -219,7 +220,7 @@
     begin.set_keep_ms(1000000);
     return submit(std::move(change));
   }
-  /// @return nothing while the group has not answered.
+  /// @return nothing until the group has answered.
   [[nodiscard]] std::optional<wire::RecordVerdict>
   verdict(std::uint64_t id) const {
     const auto found = verdicts_.find(id);
@@ -228,7 +229,7 @@
   }
   [[nodiscard]] std::size_t unanswered() const { return unanswered_.size(); }
 
-  /// The node that leads and can commit, or none.
+  /// The leader that can commit; empty if there is none.
   [[nodiscard]] std::string leader() const {
     for (const auto &[name, machine] : machines_) {
       const bool leads = machine.node && machine.node->is_leader() &&
@@ -269,17 +270,17 @@
   }
   std::uint64_t draw() { return random_(); }
   [[nodiscard]] timestamp now() const { return now_; }
-  /// Bytes that nodes have sent to a node so far.
+  /// Total bytes sent to a node.
   [[nodiscard]] std::size_t bytes_to(const std::string &name) const {
     const auto found = bytes_to_.find(name);
     return found == bytes_to_.end() ? 0 : found->second;
   }
-  /// The largest message that was sent to a node.
+  /// Size of the largest message sent to a node.
   [[nodiscard]] std::size_t largest_to(const std::string &name) const {
     const auto found = largest_to_.find(name);
     return found == largest_to_.end() ? 0 : found->second;
   }
-  /// The leader that a node names to somebody who asks it for a grant; empty
+  /// The leader address in the reply of a node that refuses a request; empty
   /// when it knows none.
   std::string leader_named_by(const std::string &name) {
     wire::Envelope envelope;
@@ -291,14 +292,14 @@
     run(duration_ms{50});
     return named_leader_;
   }
-  /// How often nodes have said hello to one another.
+  /// Number of hello messages sent between nodes.
   [[nodiscard]] std::size_t hellos() const { return hellos_; }
-  /// How often the nodes have logged an event.
+  /// Number of times the nodes have logged an event.
   [[nodiscard]] std::size_t logged(logging::event number) const {
     const auto found = logged_.find(number);
     return found == logged_.end() ? 0 : found->second;
   }
-  /// True when the node's disk has the body of each turn that it keeps.
+  /// True when the disk of the node has the body of each stored turn.
   [[nodiscard]] bool has_all_bodies(const std::string &name) {
     node_machine &machine = machines_.at(name);
     const wire::RecordSnapshot state = machine.node->table().snapshot();
@@ -307,9 +308,9 @@
       return whole && whole->ByteSizeLong() == kept.bytes();
     });
   }
-  /// Turns of histories that a node was to tell and did not have.
+  /// Number of history turns missing from the disks of nodes.
   [[nodiscard]] std::size_t missing_turns() const { return missing_turns_; }
-  /// Bytes handed to the network for a node that cannot take them.
+  /// Bytes sent to nodes that could not receive them.
   [[nodiscard]] std::size_t undeliverable_bytes() const {
     return undeliverable_bytes_;
   }
--- a/tests/support/turns_in_memory.hpp
+++ b/tests/support/turns_in_memory.hpp
@@ -1,4 +1,4 @@
-// The bodies of kept turns, for tests without a disk.
+// Turn bodies held in memory, for tests without a disk.
 #pragma once
 
 #include "records/turn_bodies.hpp"
