--- a/src/records/group_plan.cpp
+++ b/src/records/membership_plan.cpp
@@ -1,4 +1,4 @@
-#include "records/group_plan.hpp"
+#include "records/membership_plan.hpp"
 
 #include <algorithm>
 #include <map>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The node's other identity that is alive, when this one is dead.
+/// The live identity of the node of a dead replica; null if there is none.
 const node_view *successor_of(const node_view &dead,
                               const std::vector<node_view> &nodes) {
   const auto found =
@@ -23,8 +23,8 @@
   return std::find(replicas.begin(), replicas.end(), id) != replicas.end();
 }
 
-/// Of the nodes that fit, the preferred one in a zone with the fewest
-/// `counted`.
+/// Of the nodes that fit, the preferred one in a zone with the fewest nodes
+/// matched by `counted`.
 template <typename Fits, typename Counted>
 const node_view *first_in_emptiest_zone(const std::vector<node_view> &nodes,
                                         Fits fits, Counted counted) {
@@ -47,7 +47,7 @@
   return best;
 }
 
-bool may_serve(const node_view &each) {
+bool is_available(const node_view &each) {
   return each.alive && !each.retiring && !each.dead;
 }
 
@@ -57,27 +57,28 @@
                     [](const node_view &each) { return each.votes; }));
 }
 
-/// A voter whose copy of the log counts when machines are lost.
+/// A voter whose copy of the log is complete and reachable.
 bool holds_log(const node_view &each) {
   return each.votes && each.alive && !each.dead && !each.lagging;
 }
 
-std::size_t count_holders(const std::vector<node_view> &nodes) {
+std::size_t count_log_holders(const std::vector<node_view> &nodes) {
   return static_cast<std::size_t>(
       std::count_if(nodes.begin(), nodes.end(), holds_log));
 }
 
-/// A voter that is there, or may be back before it is worth replacing.
-bool is_sound_voter(const node_view &each) {
+/// A voter that is reachable or may return before it is worth replacing.
+bool is_healthy_voter(const node_view &each) {
   return each.votes && !each.long_silent && !each.retiring && !each.dead;
 }
 
-/// A learner beyond the spares, when no voter is about to need it.
+/// A learner in excess of the spares, unless a voter is about to be replaced.
 const node_view *surplus_learner(const std::vector<node_view> &nodes,
                                  const std::vector<replica_id> &learners,
                                  const group_size &size) {
-  const auto sound = std::count_if(nodes.begin(), nodes.end(), is_sound_voter);
-  const bool needed = static_cast<std::size_t>(sound) < size.voters ||
+  const auto healthy =
+      std::count_if(nodes.begin(), nodes.end(), is_healthy_voter);
+  const bool needed = static_cast<std::size_t>(healthy) < size.voters ||
                       learners.size() <= size.spares;
   if (needed) {
     return nullptr;
@@ -89,18 +90,20 @@
   return found == nodes.rend() ? nullptr : &*found;
 }
 
-/// A node that is to follow the log, or none when enough do.
+/// The node to add as a learner; null when there are enough followers.
 const node_view *next_learner(const std::vector<node_view> &nodes,
                               const std::vector<replica_id> &learners,
                               const group_size &size, bool recruit_spares) {
   const auto lacks_log = [&learners](const node_view &each) {
-    return !each.votes && !contains(learners, each.replica) && may_serve(each);
+    return !each.votes && !contains(learners, each.replica) &&
+           is_available(each);
   };
   for (const node_view &each : nodes) {
     if (each.votes && each.dead) {
       const node_view *successor = successor_of(each, nodes);
       if (successor != nullptr && lacks_log(*successor)) {
-        return successor; // takes the dead one's place, however many follow
+        return successor; // replaces the dead voter, however many learners
+                          // there are
       }
     }
   }
@@ -108,8 +111,8 @@
     return nullptr;
   }
   const auto follows = [&learners](const node_view &each) {
-    const bool learns = may_serve(each) && contains(learners, each.replica);
-    return learns || is_sound_voter(each);
+    const bool learns = is_available(each) && contains(learners, each.replica);
+    return learns || is_healthy_voter(each);
   };
   const auto following = std::count_if(nodes.begin(), nodes.end(), follows);
   const bool enough =
@@ -122,29 +125,29 @@
          !each.dead;
 }
 
-/// A voter that gives way to a spare node. A dead one whose node is back waits
-/// for that instead.
-const node_view *first_leaving(const std::vector<node_view> &nodes) {
+/// A voter to be replaced by a spare node. A dead voter whose node has come
+/// back is replaced by its successor instead.
+const node_view *first_voter_to_replace(const std::vector<node_view> &nodes) {
   const auto found =
       std::find_if(nodes.begin(), nodes.end(), [&nodes](const auto &each) {
-        const bool comes_back =
+        const bool has_successor =
             each.dead && successor_of(each, nodes) != nullptr;
-        const bool has_to =
-            each.retiring || ((each.long_silent || each.dead) && !comes_back);
-        return each.votes && has_to;
+        const bool must_leave =
+            each.retiring ||
+            ((each.long_silent || each.dead) && !has_successor);
+        return each.votes && must_leave;
       });
   return found == nodes.end() ? nullptr : &*found;
 }
 
-/// A node that may yet take a voter's place. One that is silent for a moment is
-/// not gone: only a silence as long as that of a voter that is replaced counts.
-bool may_take_place(const node_view &each) {
+/// A node that may still become a voter. Briefly silent nodes are included:
+/// only the silence after which a voter is replaced counts.
+bool may_become_voter(const node_view &each) {
   return !each.votes && !each.long_silent && !each.retiring && !each.dead;
 }
 
-/// Of the voters that fit the one that the group gives up first: who counts
-/// least when machines are lost, then who is to leave anyway, and the leader
-/// last, since it has to hand over before.
+/// Of the voters that fit, the one to remove first: lost ones, then retiring
+/// ones, and the leader last because it has to transfer leadership before.
 template <typename Fits>
 const node_view *least_needed(const std::vector<node_view> &nodes, Fits fits) {
   const auto rank = [](const node_view &each) {
@@ -156,7 +159,7 @@
     if (!each.votes || !fits(each)) {
       continue;
     }
-    // Of equals the retiring one that comes first, else the last one.
+    // Among equals, the first retiring voter, otherwise the last voter.
     const bool less = least == nullptr || rank(each) < rank(*least) ||
                       (!each.retiring && rank(each) == rank(*least));
     least = less ? &each : least;
@@ -164,10 +167,11 @@
   return least;
 }
 
-/// The voter to take out now: a surplus or lost one, or a retiring one that
-/// nobody can succeed while all others hold the log.
-const node_view *next_leaving(const std::vector<node_view> &nodes,
-                              const group_size &size, bool recruit_spares) {
+/// The voter to remove now: a surplus or lost one, or a retiring one that no
+/// node can replace while all others hold the log.
+const node_view *next_voter_to_remove(const std::vector<node_view> &nodes,
+                                      const group_size &size,
+                                      bool recruit_spares) {
   const std::size_t voters = count_voters(nodes);
   if (voters <= 1) {
     return nullptr;
@@ -176,36 +180,37 @@
     const node_view *least = least_needed(nodes, [](const node_view &each) {
       return !each.is_self || each.retiring;
     });
-    const bool enough = count_holders(nodes) > size.voters;
+    const bool enough = count_log_holders(nodes) > size.voters;
     return least != nullptr && holds_log(*least) && !enough ? nullptr : least;
   }
   const node_view *leaving =
       least_needed(nodes, [](const node_view &each) { return each.retiring; });
   if (leaving == nullptr || leaving->dead) {
-    return leaving; // a dead one is no loss to anybody
+    return leaving; // removing a dead voter loses nothing
   }
   if (!recruit_spares) {
     return nullptr;
   }
-  const bool goes =
+  const bool may_leave =
       std::ranges::all_of(nodes, [leaving](const node_view &each) {
         const bool stays_in_touch = !each.votes || holds_log(each);
-        return &each == leaving || (stays_in_touch && !may_take_place(each));
+        return &each == leaving || (stays_in_touch && !may_become_voter(each));
       });
-  return goes ? leaving : nullptr;
+  return may_leave ? leaving : nullptr;
 }
 
 } // namespace
 
-group_size group_size::bearing(std::size_t losses, std::size_t partitions) {
-  const std::size_t borne = std::max<std::size_t>(losses, 1);
-  return {.voters = 2 * borne + 1, .spares = partitions > 1 ? 0 : borne + 1};
+group_size group_size::tolerating(std::size_t losses, std::size_t partitions) {
+  const std::size_t tolerated = std::max<std::size_t>(losses, 1);
+  return {.voters = 2 * tolerated + 1,
+          .spares = partitions > 1 ? 0 : tolerated + 1};
 }
 
-std::optional<group_change> next_change(const std::vector<node_view> &nodes,
-                                        const std::vector<replica_id> &learners,
-                                        const group_size &size,
-                                        bool recruit_spares) {
+std::optional<membership_change>
+next_membership_change(const std::vector<node_view> &nodes,
+                       const std::vector<replica_id> &learners,
+                       const group_size &size, bool recruit_spares) {
   for (const node_view &each : nodes) {
     if (!each.votes || !each.dead) {
       continue;
@@ -226,30 +231,31 @@
       first_in_emptiest_zone(nodes, is_ready_spare, [](const node_view &each) {
         return each.votes && !each.dead;
       });
-  const node_view *leaving = first_leaving(nodes);
+  const node_view *leaving = first_voter_to_replace(nodes);
   const bool wanted = voters < size.voters || leaving != nullptr;
   if (spare != nullptr && wanted && voters <= size.voters) {
     return add_voter{spare->replica};
   }
-  const node_view *removed = next_leaving(nodes, size, recruit_spares);
+  const node_view *removed = next_voter_to_remove(nodes, size, recruit_spares);
   if (removed == nullptr) {
     const node_view *released = surplus_learner(nodes, learners, size);
     return released == nullptr ? std::nullopt
-                               : std::optional<group_change>(
+                               : std::optional<membership_change>(
                                      release_learner{released->replica});
   }
   if (removed->is_self) {
-    return hand_over{};
+    return resign_leadership{};
   }
   return remove_voter{removed->replica};
 }
 
-bool bears_losses(const std::vector<node_view> &nodes, const group_size &size) {
-  if (count_holders(nodes) >= size.voters) {
+bool tolerates_losses(const std::vector<node_view> &nodes,
+                      const group_size &size) {
+  if (count_log_holders(nodes) >= size.voters) {
     return true;
   }
   return std::ranges::none_of(nodes, [](const node_view &each) {
-    return may_take_place(each) || (each.votes && !holds_log(each));
+    return may_become_voter(each) || (each.votes && !holds_log(each));
   });
 }
 
--- a/src/records/record_runtime.cpp
+++ b/src/records/record_runtime.cpp
@@ -21,38 +21,39 @@
 namespace {
 
 constexpr duration_ms tick_interval{50};
-/// After so many bytes of entries a snapshot is written, and the log before
-/// those kept for followers is dropped. A restart applies as much at most, and
-/// reads those kept for followers besides; a snapshot holds no bodies of turns
-/// and is small.
+/// A snapshot is written after this many bytes of log entries, and older
+/// entries are dropped except for those retained for followers. This bounds the
+/// entries that a restart applies; a snapshot holds no turn bodies and is
+/// small.
 constexpr std::uint64_t snapshot_after_bytes = 8U << 20U;
 constexpr const char *cluster_name = "records";
-/// How long what another leader told of emptied machines counts.
-constexpr duration_ms told_for{1000};
-/// What differs in a group of several partitions, whose nodes have small shares
-/// of a processor.
-record_node_options for_small_nodes(record_node_options options) {
-  // A turn waits up to this long twice; the messages between the nodes and the
-  // writes are far fewer.
-  options.join_interval = duration_ms{25};
-  // Whoever follows anew is sent the whole state, which costs more than waiting
-  // for the nodes that are coming back.
+/// Lifetime of a report of removable nodes from another leader.
+constexpr duration_ms report_lifetime{1000};
+/// Options for a group of several partitions, whose nodes have a small share of
+/// a processor.
+record_node_options small_node_options(record_node_options options) {
+  // Delays each turn by up to twice this time but greatly reduces the number of
+  // messages and disk writes.
+  options.batch_interval = duration_ms{25};
+  // A new follower needs a transfer of the whole state, which costs more than
+  // waiting for restarting nodes.
   options.recruit_after = duration_ms{2000};
   options.replace_after = duration_ms{3000};
-  // A node that is busy is not gone.
+  // Tolerates the delays of a busy node.
   options.raft.election_timeout = duration_ms{500};
-  options.alive_for = duration_ms{1200};
+  options.liveness_timeout = duration_ms{1200};
   return options;
 }
 
-/// What the allocator has handed out and not been given back.
+/// Bytes allocated and not freed.
 std::size_t heap_bytes() {
   const struct mallinfo2 info = ::mallinfo2();
   return info.uordblks + info.hblkhd;
 }
 
-/// Ends the process where what it promises from here on might not be kept.
-void exit_unless_done(const result<void> &done) {
+/// Exits when a write fails, since later acknowledgements would promise state
+/// that is not durable.
+void exit_on_failure(const result<void> &done) {
   if (!done) {
     logging::write(logging::event::record_storage_failed,
                    describe(done.error()));
@@ -77,7 +78,7 @@
   for (std::size_t number = 0; number < count; ++number) {
     const std::string folder =
         number == 0 ? directory : fmt::format("{}/{}", directory, number);
-    std::error_code ignored; // an unusable folder is told by the database
+    std::error_code ignored; // opening the database reports the failure
     std::filesystem::create_directories(folder, ignored);
     auto disk = storage::log_storage::open(folder, identity);
     if (!disk) {
@@ -101,17 +102,18 @@
     : io_(io) {
   options.partitions = static_cast<std::uint32_t>(disks.size());
   if (disks.size() > 1) {
-    options = for_small_nodes(options);
+    options = small_node_options(options);
   }
   for (partition_disk &each : disks) {
     options.partition = static_cast<std::uint32_t>(partitions_.size());
     auto node = std::make_unique<record_node>(self, std::move(each.recovered),
                                               options, steady_now(), random_());
-    partitions_.push_back({.disk = std::move(each.disk),
-                           .node = std::move(node),
-                           .told_emptied = {},
-                           .told_at = {},
-                           .joined = std::make_unique<asio::steady_timer>(io)});
+    partitions_.push_back(
+        {.disk = std::move(each.disk),
+         .node = std::move(node),
+         .reported_removable = {},
+         .reported_at = {},
+         .batch_timer = std::make_unique<asio::steady_timer>(io)});
   }
 }
 
@@ -131,10 +133,10 @@
   return partitions_.front().node->self();
 }
 
-bool record_runtime::in_touch() const {
+bool record_runtime::knows_leader() const {
   return std::all_of(partitions_.begin(), partitions_.end(),
                      [now = steady_now()](const partition &each) {
-                       return each.node->in_touch(now);
+                       return each.node->knows_leader(now);
                      });
 }
 
@@ -150,9 +152,9 @@
       [](const partition &each) { return each.node->has_group(); });
 }
 
-void record_runtime::found() {
+void record_runtime::bootstrap() {
   for (std::size_t number = 0; number < partitions_.size(); ++number) {
-    partitions_[number].node->found(steady_now(), random_());
+    partitions_[number].node->bootstrap(steady_now(), random_());
     step(number);
   }
 }
@@ -169,24 +171,25 @@
   }
 }
 
-bool record_runtime::reports() const {
+bool record_runtime::is_retirement_reporter() const {
   return partitions_.front().node->is_leader();
 }
 
-std::set<std::string> record_runtime::emptied() const {
-  std::map<std::string, std::size_t> empty_in;
+std::set<std::string> record_runtime::removable_nodes() const {
+  std::map<std::string, std::size_t> removable_in;
   for (const partition &each : partitions_) {
     const bool leads = each.node->is_leader();
-    const bool fresh = steady_now() < each.told_at + told_for;
-    const std::set<std::string> names = leads ? each.node->emptied(steady_now())
-                                        : fresh ? each.told_emptied
-                                                : std::set<std::string>();
+    const bool fresh = steady_now() < each.reported_at + report_lifetime;
+    const std::set<std::string> names =
+        leads   ? each.node->removable_nodes(steady_now())
+        : fresh ? each.reported_removable
+                : std::set<std::string>();
     for (const std::string &name : names) {
-      ++empty_in[name];
+      ++removable_in[name];
     }
   }
   std::set<std::string> everywhere;
-  for (const auto &[name, count] : empty_in) {
+  for (const auto &[name, count] : removable_in) {
     if (count == partitions_.size()) {
       everywhere.insert(name);
     }
@@ -197,20 +200,20 @@
 void record_runtime::on_message(wire::Envelope envelope) {
   const std::scoped_lock lock(mutex_);
   arrived_.push_back(std::move(envelope));
-  if (!drain_posted_) {
-    drain_posted_ = true;
+  if (!processing_posted_) {
+    processing_posted_ = true;
     first_arrived_ = steady_now();
-    asio::post(io_, [this] { drain(); });
+    asio::post(io_, [this] { process_arrived(); });
   }
 }
 
-void record_runtime::drain() {
+void record_runtime::process_arrived() {
   std::vector<wire::Envelope> taken;
   timestamp oldest;
   {
     const std::scoped_lock lock(mutex_);
     taken.swap(arrived_);
-    drain_posted_ = false;
+    processing_posted_ = false;
     oldest = first_arrived_;
   }
   load_.on_queue(taken.size(), oldest, steady_now());
@@ -218,22 +221,22 @@
     load_.on_message(envelope);
     receive(std::move(envelope));
   }
-  for (const std::size_t number : std::exchange(touched_, {})) {
+  for (const std::size_t number : std::exchange(partitions_with_input_, {})) {
     step(number);
   }
 }
 
-void record_runtime::arm_joined(std::size_t number) {
+void record_runtime::arm_batch_timer(std::size_t number) {
   partition &waiting = partitions_[number];
-  const std::optional<timestamp> due = waiting.node->joined_due();
-  if (!due || waiting.joined_armed) {
+  const std::optional<timestamp> due = waiting.node->batch_due();
+  if (!due || waiting.batch_timer_armed) {
     return;
   }
-  waiting.joined_armed = true;
-  waiting.joined->expires_at(*due);
-  waiting.joined->async_wait(
+  waiting.batch_timer_armed = true;
+  waiting.batch_timer->expires_at(*due);
+  waiting.batch_timer->async_wait(
       [this, number](boost::system::error_code cancelled) {
-        partitions_[number].joined_armed = false;
+        partitions_[number].batch_timer_armed = false;
         if (!cancelled) {
           step(number);
         }
@@ -249,16 +252,16 @@
   }
   const std::size_t number = envelope.record_partition();
   if (number >= partitions_.size()) {
-    return; // of a group with more partitions than the settings say
+    return; // the sender is configured with more partitions
   }
   if (envelope.has_record_emptied()) {
     const auto &names = envelope.record_emptied().names();
-    partitions_[number].told_emptied = {names.begin(), names.end()};
-    partitions_[number].told_at = steady_now();
+    partitions_[number].reported_removable = {names.begin(), names.end()};
+    partitions_[number].reported_at = steady_now();
     return;
   }
   partitions_[number].node->receive(std::move(envelope));
-  touched_.insert(number);
+  partitions_with_input_.insert(number);
 }
 
 asio::awaitable<void> record_runtime::tick() {
@@ -269,26 +272,27 @@
     for (std::size_t number = 0; number < partitions_.size(); ++number) {
       step(number);
     }
-    tell_emptied();
+    send_removable_nodes();
     report_load();
   }
 }
 
 void record_runtime::report_load() {
   for (const partition &each : partitions_) {
-    const question_counts counts = each.node->take_question_counts();
-    load_.on_questions(counts.taken, counts.repeated, counts.settled);
+    const request_counts counts = each.node->take_request_counts();
+    load_.on_requests(counts.taken, counts.repeated, counts.settled);
   }
-  if (const auto sums = load_.take_report(steady_now())) {
-    log_load(*sums);
+  if (const auto totals = load_.take_report(steady_now())) {
+    log_load(*totals);
   }
 }
 
-void record_runtime::tell_emptied() {
-  // The first partition's leader reports for all; the others tell it.
+void record_runtime::send_removable_nodes() {
+  // The leader of the first partition reports for all partitions, so the other
+  // leaders send it their results.
   for (std::size_t number = 1; number < partitions_.size(); ++number) {
     const record_node &node = *partitions_[number].node;
-    const std::set<std::string> names = node.emptied(steady_now());
+    const std::set<std::string> names = node.removable_nodes(steady_now());
     if (names.empty()) {
       continue;
     }
@@ -314,7 +318,7 @@
   send(number, first.early);
   write(stepped, first);
   record_effects second = apply(stepped);
-  fill_in(number, second.messages);
+  fill_turn_bodies(number, second.messages);
   send(number, second.messages);
   stepped.disk->drop(second.dropped);
   for (const logged_event &each : second.log) {
@@ -323,9 +327,9 @@
         .field("detail", each.detail)
         .write();
   }
-  arm_joined(number);
+  arm_batch_timer(number);
   if (stepped.node->has_more_to_apply()) {
-    go_on_applying(number);
+    schedule_apply(number);
   }
   if (stepped.disk->bytes_since_snapshot() > snapshot_after_bytes) {
     compact(stepped);
@@ -333,23 +337,23 @@
 }
 
 record_effects record_runtime::reduce(partition &stepped) {
-  const work_timer timer(load_, work_part::reduce);
+  const phase_timer timer(load_, step_phase::reduce);
   return stepped.node->step(steady_now(), wall_ms(), random_());
 }
 
 record_effects record_runtime::apply(partition &stepped) {
-  const work_timer timer(load_, work_part::apply);
+  const phase_timer timer(load_, step_phase::apply);
   record_effects effects = stepped.node->after_write(steady_now());
-  exit_unless_done(stepped.disk->keep(std::move(effects.kept)));
+  exit_on_failure(stepped.disk->keep(std::move(effects.kept)));
   return effects;
 }
 
-void record_runtime::fill_in(std::size_t number,
-                             std::vector<addressed_message> &messages) {
-  const work_timer timer(load_, work_part::read_bodies);
+void record_runtime::fill_turn_bodies(
+    std::size_t number, std::vector<addressed_message> &messages) {
+  const phase_timer timer(load_, step_phase::read_bodies);
   for (addressed_message &message : messages) {
     const std::size_t missing =
-        records::fill_in(message.envelope, *partitions_[number].disk);
+        records::fill_turn_bodies(message.envelope, *partitions_[number].disk);
     if (missing > 0) {
       logging::line(logging::event::record_turns_missing)
           .field("partition", number)
@@ -369,20 +373,20 @@
   }
 }
 
-void record_runtime::go_on_applying(std::size_t number) {
+void record_runtime::schedule_apply(std::size_t number) {
   partition &behind = partitions_[number];
-  if (std::exchange(behind.applying, true)) {
+  if (std::exchange(behind.apply_scheduled, true)) {
     return;
   }
-  // Behind whatever has arrived meanwhile, so that others are answered.
+  // Posted, so that messages that have arrived are processed first.
   asio::post(io_, [this, number] {
-    partitions_[number].applying = false;
+    partitions_[number].apply_scheduled = false;
     step(number);
   });
 }
 
 void record_runtime::write(partition &written, record_effects &effects) {
-  const work_timer timer(load_, work_part::write);
+  const phase_timer timer(load_, step_phase::write);
   const auto begun = std::chrono::steady_clock::now();
   result<void> done = written.disk->keep(std::move(effects.kept));
   if (done && !effects.write.empty()) {
@@ -393,22 +397,22 @@
   if (done && effects.members) {
     done = written.disk->write_members(*effects.members);
   }
-  exit_unless_done(done);
+  exit_on_failure(done);
   write_seconds_ +=
       std::chrono::duration<double>(std::chrono::steady_clock::now() - begun)
           .count();
 }
 
 void record_runtime::compact(partition &compacted) {
-  const work_timer timer(load_, work_part::compact);
+  const phase_timer timer(load_, step_phase::compact);
   const raft::consensus &log = *compacted.node->log();
-  exit_unless_done(compacted.disk->compact(log.base(), log.applied_index(),
-                                           compacted.node->table().snapshot()));
+  exit_on_failure(compacted.disk->compact(log.base(), log.applied_index(),
+                                          compacted.node->table().snapshot()));
 }
 
 void record_runtime::send(std::size_t number,
                           std::vector<addressed_message> &messages) {
-  const work_timer timer(load_, work_part::send);
+  const phase_timer timer(load_, step_phase::send);
   for (addressed_message &message : messages) {
     message.envelope.set_record_partition(static_cast<std::uint32_t>(number));
     transport_->send(std::move(message.address), message.envelope);
--- a/src/records/record_table.cpp
+++ b/src/records/record_table.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::uint64_t sweep_interval_ms = 5000;
-/// Kept beyond what was asked, since the clocks of two leaders may differ.
+/// Added to each requested lifetime, since the clocks of successive leaders may
+/// differ.
 constexpr std::uint64_t clock_slack_ms = 15000;
 
 } // namespace
@@ -44,11 +45,11 @@
     return keep(change.keep());
   case wire::RecordChange::kReserveQuota:
     return reserve(change.reserve_quota());
-  case wire::RecordChange::kTakePermit: // leaders answer it themselves
+  case wire::RecordChange::kTakePermit: // answered by leaders without the log
   case wire::RecordChange::BODY_NOT_SET:
     break;
   }
-  return {}; // unavailable: a change that this version does not know
+  return {}; // unavailable: this version does not know the change
 }
 
 wire::RecordReplyItem record_table::read(const wire::ReadTurns &wanted) const {
@@ -73,7 +74,7 @@
 
 wire::RecordReplyItem record_table::begin(const wire::BeginTurn &wanted) {
   wire::RecordReplyItem reply;
-  const retained_entry *previous = find_turn(wanted.previous());
+  const stored_turn *previous = find_turn(wanted.previous());
   if (!wanted.previous().empty() && previous == nullptr) {
     reply.set_verdict(wire::RECORD_UNKNOWN_TURN);
     return reply;
@@ -93,34 +94,34 @@
     account.reserved += wanted.most();
     reply.set_verdict(wire::RECORD_GRANTED);
   }
-  describe_grant(wanted, account, reply);
+  add_grant_details(wanted, account, reply);
   return reply;
 }
 
-void record_table::describe_grant(const wire::BeginTurn &wanted,
-                                  const program &account,
-                                  wire::RecordReplyItem &reply) const {
+void record_table::add_grant_details(const wire::BeginTurn &wanted,
+                                     const program &account,
+                                     wire::RecordReplyItem &reply) const {
   reply.set_spent(account.spent);
   reply.set_reserved(account.reserved);
   const bool granted = reply.verdict() == wire::RECORD_GRANTED;
   if (granted && wanted.want_history()) {
     add_history(wanted.previous(), reply);
   }
-  const retained_entry *previous = find_turn(wanted.previous());
+  const stored_turn *previous = find_turn(wanted.previous());
   if (granted && previous != nullptr && previous->turn->has_place()) {
     *reply.mutable_previous_place() = previous->turn->place();
   }
 }
 
 std::optional<wire::RecordReplyItem>
-record_table::settled(const wire::RecordChange &change) const {
+record_table::decided_outcome(const wire::RecordChange &change) const {
   switch (change.body_case()) {
   case wire::RecordChange::kBegin:
-    return settled(change.begin());
+    return decided_outcome(change.begin());
   case wire::RecordChange::kEnd:
-    return settled(change.end());
+    return decided_outcome(change.end());
   case wire::RecordChange::kRead:
-    // A turn that is kept never changes; that there is none takes the log.
+    // A stored turn never changes, but its absence must be decided by the log.
     return find_turn(change.read().last()) != nullptr
                ? std::optional(read(change.read()))
                : std::nullopt;
@@ -130,7 +131,7 @@
 }
 
 std::optional<wire::RecordReplyItem>
-record_table::settled(const wire::BeginTurn &wanted) const {
+record_table::decided_outcome(const wire::BeginTurn &wanted) const {
   const program *account = find_account(wanted.program());
   const bool chain_kept =
       wanted.previous().empty() || find_turn(wanted.previous()) != nullptr;
@@ -141,12 +142,12 @@
   }
   wire::RecordReplyItem reply;
   reply.set_verdict(wire::RECORD_GRANTED);
-  describe_grant(wanted, *account, reply);
+  add_grant_details(wanted, *account, reply);
   return reply;
 }
 
 std::optional<wire::RecordReplyItem>
-record_table::settled(const wire::EndTurn &ended) const {
+record_table::decided_outcome(const wire::EndTurn &ended) const {
   const program *account = find_account(ended.program());
   const bool nothing_to_keep =
       ended.kept().id().empty() || find_turn(ended.kept().id()) != nullptr;
@@ -211,7 +212,7 @@
   return there ? &found->second : nullptr;
 }
 
-const retained_entry *record_table::find_turn(const std::string &id) const {
+const stored_turn *record_table::find_turn(const std::string &id) const {
   const auto found = turns_.find(id);
   const bool there =
       found != turns_.end() && now_ms_ < found->second.expires_ms;
@@ -221,7 +222,7 @@
 void record_table::keep(const wire::RecordTurn &turn, std::uint64_t keep_ms) {
   const std::uint64_t expires = now_ms_ + keep_ms + clock_slack_ms;
   if (find_turn(turn.id()) == nullptr) {
-    retained_entry &entry = turns_[turn.id()];
+    stored_turn &entry = turns_[turn.id()];
     turn_bytes_ -= entry.bytes;
     entry = {.turn =
                  std::make_shared<const wire::RecordTurn>(without_body(turn)),
@@ -230,7 +231,7 @@
     turn_bytes_ += entry.bytes;
     kept_.push_back(turn);
   }
-  // A turn is kept with its whole chain.
+  // Storing a turn extends the lifetime of all turns before it.
   std::string id = turn.id();
   while (!id.empty()) {
     const auto found = turns_.find(id);
@@ -247,7 +248,7 @@
   std::vector<const wire::RecordTurn *> chain;
   std::string id = last;
   while (!id.empty()) {
-    const retained_entry *found = find_turn(id);
+    const stored_turn *found = find_turn(id);
     if (found == nullptr) {
       break;
     }
@@ -280,7 +281,7 @@
 std::vector<std::string> record_table::take_dropped() {
   std::vector<std::string> dropped = std::exchange(dropped_, {});
   std::erase_if(dropped, [this](const std::string &id) {
-    return turns_.contains(id); // was kept anew
+    return turns_.contains(id); // stored again
   });
   return dropped;
 }
@@ -307,7 +308,7 @@
       saved.add_closed(attempt);
     }
   }
-  std::vector<retained_entry> turns;
+  std::vector<stored_turn> turns;
   turns.reserve(turns_.size());
   for (const auto &[id, kept] : turns_) {
     turns.push_back(kept);
@@ -322,7 +323,7 @@
 }
 
 void record_table::restore(wire::RecordSnapshot snapshot) {
-  take_bodies(snapshot, kept_);
+  extract_bodies(snapshot, kept_);
   now_ms_ = snapshot.time_ms();
   next_sweep_ms_ = now_ms_;
   quota_time_ = snapshot.quota_time_ms();
--- a/src/records/turn_bodies.cpp
+++ b/src/records/turn_bodies.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// @return how many turns were missing.
-std::size_t fill_in(wire::RecordReplyItem &item, turn_bodies &bodies) {
+/// @return the number of missing turns.
+std::size_t fill_turn_bodies(wire::RecordReplyItem &item, turn_bodies &bodies) {
   std::size_t missing = 0;
   for (wire::RecordTurn &turn : *item.mutable_history()) {
     std::optional<wire::RecordTurn> whole = bodies.read(turn.id());
@@ -18,14 +18,15 @@
     }
   }
   if (missing > 0) {
-    // Another conversation than the caller's would be gone on with.
+    // With a partial history the program would continue a different
+    // conversation.
     item.clear_history();
     item.set_verdict(wire::RECORD_UNAVAILABLE);
   }
   return missing;
 }
 
-void fill_in(wire::RecordSnapshot &part, turn_bodies &bodies) {
+void fill_turn_bodies(wire::RecordSnapshot &part, turn_bodies &bodies) {
   for (wire::RecordKeptTurn &kept : *part.mutable_turns()) {
     std::optional<wire::RecordTurn> whole = bodies.read(kept.turn().id());
     if (whole) {
@@ -37,25 +38,26 @@
 
 } // namespace
 
-std::size_t fill_in(wire::Envelope &message, turn_bodies &bodies) {
+std::size_t fill_turn_bodies(wire::Envelope &message, turn_bodies &bodies) {
   std::size_t missing = 0;
   if (message.has_record_reply()) {
     for (wire::RecordReplyItem &item :
          *message.mutable_record_reply()->mutable_items()) {
-      missing += fill_in(item, bodies);
+      missing += fill_turn_bodies(item, bodies);
     }
   }
   if (message.has_snapshot_request()) {
-    fill_in(*message.mutable_snapshot_request()->mutable_records(), bodies);
+    fill_turn_bodies(*message.mutable_snapshot_request()->mutable_records(),
+                     bodies);
   }
   return missing;
 }
 
-void take_bodies(wire::RecordSnapshot &snapshot,
-                 std::vector<wire::RecordTurn> &taken) {
+void extract_bodies(wire::RecordSnapshot &snapshot,
+                    std::vector<wire::RecordTurn> &taken) {
   for (wire::RecordKeptTurn &kept : *snapshot.mutable_turns()) {
     if (kept.bytes() != 0) {
-      continue; // came without its body
+      continue; // carries no body
     }
     kept.set_bytes(kept.turn().ByteSizeLong());
     wire::RecordTurn named = without_body(kept.turn());
--- a/tests/records/group_plan_property_test.cpp
+++ b/tests/records/membership_plan_property_test.cpp
@@ -1,7 +1,8 @@
-// Random orders of what can happen to a group while its members are planned: a
-// planned change never takes the voters in touch below what the group promises
-// to bear, and once nothing happens any more every request is carried out.
-#include "records/group_plan.hpp"
+// Applies random faults and operator requests while membership changes are
+// planned. A planned change must never take the reachable voters below the
+// number needed for the tolerated losses, and once the faults end, all retiring
+// and dead voters must be replaced.
+#include "records/membership_plan.hpp"
 
 #include <algorithm>
 #include <random>
@@ -12,11 +13,11 @@
 namespace heathtrestle::records {
 namespace {
 
-/// The nodes as their leader sees them; changes are carried out at once.
+/// The leader's view of the nodes; planned changes take effect at once.
 class random_fleet {
 public:
   random_fleet(std::uint64_t seed, std::size_t losses, std::uint64_t nodes)
-      : random_(seed), size_(group_size::bearing(losses, seed % 2 + 1)) {
+      : random_(seed), size_(group_size::tolerating(losses, seed % 2 + 1)) {
     for (std::uint64_t node = 1; node <= nodes; ++node) {
       add_node(node, 1);
       nodes_.back().votes = node <= size_.voters;
@@ -24,7 +25,7 @@
     nodes_.front().is_self = true;
   }
 
-  /// Something happens to a random node.
+  /// Applies a random event to a random node.
   void disturb() {
     const std::uint64_t place = random_() % nodes_.size();
     constexpr std::uint64_t kinds = 7;
@@ -49,9 +50,10 @@
     }
   }
 
-  /// @return false when nothing was to be changed.
+  /// @return false when no change is planned.
   bool change_once(const std::string &message, bool recruits) {
-    const auto change = next_change(nodes_, learners_, size_, recruits);
+    const auto change =
+        next_membership_change(nodes_, learners_, size_, recruits);
     if (!change) {
       return false;
     }
@@ -63,7 +65,8 @@
     return true;
   }
 
-  /// All that can come back does; nothing happens any more.
+  /// Recovers all nodes that can return and applies planned changes until none
+  /// is left.
   void settle(const std::string &message) {
     for (int round = 0; round < 200; ++round) {
       for (node_view &each : nodes_) {
@@ -103,13 +106,13 @@
     newest_ = std::max(newest_, node);
   }
 
-  /// Never all of them: the operator leaves somebody to serve.
+  /// Retires a node unless three or fewer usable nodes are left.
   void retire(node_view &node) {
     const auto usable = std::ranges::count_if(nodes_, can_serve);
     node.retiring = node.retiring || usable > 3;
   }
 
-  /// As many voters as the group bears are out of touch at the most.
+  /// At most as many voters as the group tolerates are unreachable at once.
   [[nodiscard]] bool may_lose_another() const {
     const auto holders = std::ranges::count_if(nodes_, holds_log);
     return holders > static_cast<std::ptrdiff_t>(size_.voters / 2 + 1);
@@ -145,7 +148,7 @@
     node.caught_up = learns && !node.votes;
   }
 
-  /// What must hold when a voter is taken out on purpose.
+  /// Checks the condition for removing a voter that holds the log.
   void check_leaving(const node_view &leaving, const std::string &message,
                      bool recruits) {
     if (!holds_log(leaving)) {
@@ -186,7 +189,8 @@
     check_leaving(at(change.replica), message, recruits);
     at(change.replica).votes = false;
   }
-  void apply(const hand_over &, const std::string &message, bool recruits) {
+  void apply(const resign_leadership &, const std::string &message,
+             bool recruits) {
     node_view &self = *std::ranges::find(nodes_, true, &node_view::is_self);
     check_leaving(self, message, recruits);
     const auto next = std::ranges::find_if(nodes_, [](const node_view &each) {
@@ -205,8 +209,8 @@
   std::uint64_t newest_ = 0;
 };
 
-class group_plan_property_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(group_plan_property_test);
+class membership_plan_property_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(membership_plan_property_test);
   CPPUNIT_TEST(planned_changes_keep_what_is_promised);
   CPPUNIT_TEST_SUITE_END();
 
@@ -225,7 +229,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(group_plan_property_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(membership_plan_property_test);
 
 } // namespace
 } // namespace heathtrestle::records
--- a/tests/records/record_group_test.cpp
+++ b/tests/records/record_group_test.cpp
@@ -1,5 +1,5 @@
-// The record group under losses: what it acknowledged is never lost, and it
-// serves again by itself.
+// Tests a simulated record group under faults: acknowledged changes are never
+// lost, and the group recovers without intervention.
 #include "support/record_group.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -56,7 +56,7 @@
   CPPUNIT_TEST(what_was_wanted_in_an_earlier_term_is_not_reserved);
   CPPUNIT_TEST_SUITE_END();
 
-  /// What the quota of `ask_permit` allows in 5 s: 60 x 1.1 + 20.
+  /// Upper bound of the quota of `request_permit` in 5 s: 60 x 1.1 + 20.
   static constexpr std::size_t permits_allowed = 86;
 
   static std::size_t most_in_window(const std::vector<timestamp> &used) {
@@ -71,11 +71,11 @@
     return most;
   }
 
-  /// Asks all nodes for permits, far more than there are.
-  static void ask_permits(record_group &group, duration_ms span) {
+  /// Requests far more permits from all nodes than the quota allows.
+  static void request_permits(record_group &group, duration_ms span) {
     for (duration_ms passed{0}; passed < span; passed += 20ms) {
       for (const std::string &name : group.names()) {
-        group.ask_permit(name);
+        group.request_permit(name);
       }
       group.run(20ms);
     }
@@ -87,16 +87,16 @@
                            most <= permits_allowed);
   }
 
-  static void found_with(record_group &group,
-                         const std::vector<std::string> &names) {
+  static void start_group(record_group &group,
+                          const std::vector<std::string> &names) {
     for (const std::string &name : names) {
       group.add(name);
     }
-    group.found(names.front());
+    group.bootstrap(names.front());
     group.run(4000ms);
   }
 
-  /// Keeps `count` turns; all must be acknowledged within `patience`.
+  /// Stores `count` turns; all must be acknowledged within `patience`.
   static void keep(record_group &group, const std::string &prefix, int count,
                    duration_ms patience) {
     std::vector<std::uint64_t> asked;
@@ -109,7 +109,7 @@
     }
   }
 
-  /// Every turn that was acknowledged must be there to go on from.
+  /// Checks that every acknowledged turn can be continued.
   static void check_kept(record_group &group, const std::string &prefix,
                          int count) {
     std::vector<std::uint64_t> asked;
@@ -129,7 +129,7 @@
 public:
   void a_founder_takes_the_others_in() {
     record_group group(1);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     CPPUNIT_ASSERT(group.voters() == (std::set<std::string>{"a", "b", "c"}));
     keep(group, "t", 5, 500ms);
     check_kept(group, "t", 5);
@@ -138,15 +138,15 @@
   void a_wiped_node_is_whole_again_within_two_seconds() {
     for (const char *wiped : {"a", "b"}) {
       record_group group(2);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       keep(group, "t", 5, 500ms);
       group.wipe(wiped);
       group.run(1000ms);
       group.start(wiped);
       group.run(2000ms);
       CPPUNIT_ASSERT(group.voters() == (std::set<std::string>{"a", "b", "c"}));
-      const std::string lead = group.leader();
-      const auto *log = group.at(lead).log();
+      const std::string leader_name = group.leader();
+      const auto *log = group.at(leader_name).log();
       CPPUNIT_ASSERT(!log->change_in_progress());
       for (const replica_id &voter : log->voters()) {
         CPPUNIT_ASSERT(!log->is_dead(voter));
@@ -156,7 +156,7 @@
 
   void wipes_one_after_the_other_lose_nothing() {
     record_group group(3);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 20, 500ms);
     int wave = 0;
     for (const char *wiped : {"b", "a", "c", "b"}) {
@@ -173,7 +173,7 @@
   void all_lose_power_and_one_its_disk() {
     for (const char *wiped : {"a", "b", "c"}) {
       record_group group(4);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       keep(group, "t", 10, 500ms);
       for (const char *name : {"a", "b", "c"}) {
         group.kill(name);
@@ -190,7 +190,7 @@
 
   void a_minority_that_was_behind_does_not_lead() {
     record_group group(5);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     group.isolate("c");
     keep(group, "t", 10, 1500ms);
     group.wipe("a");
@@ -198,7 +198,7 @@
     group.heal();
     group.start("a");
     group.run(5000ms);
-    // c is behind and a is empty: they must not go on without b.
+    // c is behind and a is empty: they must not elect a leader without b.
     CPPUNIT_ASSERT(group.leader().empty());
     group.start("b");
     group.run(3000ms);
@@ -208,7 +208,7 @@
   void of_two_either_may_be_wiped() {
     for (const char *wiped : {"a", "b"}) {
       record_group group(6);
-      found_with(group, {"a", "b"});
+      start_group(group, {"a", "b"});
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, group.voters().size());
       keep(group, "t", 10, 500ms);
       group.wipe(wiped);
@@ -223,7 +223,7 @@
 
   void a_node_lost_for_good_gives_way_to_a_spare() {
     record_group group(7);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
     group.kill("b");
     group.run(1000ms);
@@ -237,14 +237,15 @@
 
   void a_retired_node_is_emptied() {
     record_group group(8);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
-    const std::string lead = group.leader();
-    const std::string retired = lead == "c" ? "b" : "c";
+    const std::string leader_name = group.leader();
+    const std::string retired = leader_name == "c" ? "b" : "c";
     group.retire(retired);
     group.run(1000ms);
-    CPPUNIT_ASSERT(
-        group.at(group.leader()).emptied(group.now()).contains(retired));
+    CPPUNIT_ASSERT(group.at(group.leader())
+                       .removable_nodes(group.now())
+                       .contains(retired));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, group.voters().size());
     group.wipe(retired);
     const std::string other = group.leader() == "a" ? "b" : "a";
@@ -258,15 +259,16 @@
 
   void a_retired_leader_hands_over() {
     record_group group(9);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
     const std::string retired = group.leader();
     group.retire(retired);
     group.run(3000ms);
     CPPUNIT_ASSERT(group.leader() != retired);
     CPPUNIT_ASSERT(!group.voters().contains(retired));
-    CPPUNIT_ASSERT(
-        group.at(group.leader()).emptied(group.now()).contains(retired));
+    CPPUNIT_ASSERT(group.at(group.leader())
+                       .removable_nodes(group.now())
+                       .contains(retired));
     group.kill(retired);
     check_kept(group, "t", 10);
   }
@@ -274,44 +276,44 @@
   static constexpr std::size_t five_voters = 5;
 
   /// Five voters on eight nodes, no spares.
-  static void found_five(record_group &group) {
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+  static void start_five_voters(record_group &group) {
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     CPPUNIT_ASSERT_EQUAL(five_voters, group.voters().size());
     keep(group, "t", 10, 500ms);
   }
 
-  /// Runs until the leader says that the node is emptied; the group never has
-  /// fewer voters than it is to have.
+  /// Runs until the leader reports the node as removable; the group must never
+  /// have fewer voters than configured.
   static void run_until_emptied(record_group &group, const std::string &name) {
     for (int step = 0; step < 400; ++step) {
       group.run(20ms);
-      const std::string lead = group.leader();
-      if (lead.empty()) {
+      const std::string leader_name = group.leader();
+      if (leader_name.empty()) {
         continue;
       }
       CPPUNIT_ASSERT(group.voters().size() >= five_voters);
-      if (group.at(lead).emptied(group.now()).contains(name)) {
+      if (group.at(leader_name).removable_nodes(group.now()).contains(name)) {
         return;
       }
     }
-    CPPUNIT_FAIL("never emptied");
+    CPPUNIT_FAIL("the retiring node never became removable");
   }
 
   void a_group_keeps_its_voters_while_machines_are_emptied() {
     for (std::uint64_t seed = 80; seed < 84; ++seed) {
-      record_group group(seed, group_size::bearing(2, 4), 0, 4);
-      found_five(group);
-      // The leader too, and another one meanwhile.
-      const std::string lead = group.leader();
+      record_group group(seed, group_size::tolerating(2, 4), 0, 4);
+      start_five_voters(group);
+      // Retires the leader and another voter at the same time.
+      const std::string leader_name = group.leader();
       const std::set<std::string> voters = group.voters();
       const std::string other =
-          *voters.begin() == lead ? *voters.rbegin() : *voters.begin();
-      group.retire(lead);
+          *voters.begin() == leader_name ? *voters.rbegin() : *voters.begin();
+      group.retire(leader_name);
       group.retire(other);
-      run_until_emptied(group, lead);
+      run_until_emptied(group, leader_name);
       run_until_emptied(group, other);
-      group.kill(lead);
+      group.kill(leader_name);
       group.kill(other);
       CPPUNIT_ASSERT_EQUAL(five_voters, group.voters().size());
       check_kept(group, "t", 10);
@@ -320,13 +322,13 @@
 
   void two_disks_are_lost_as_soon_as_a_machine_is_emptied() {
     for (std::uint64_t seed = 90; seed < 94; ++seed) {
-      record_group group(seed, group_size::bearing(2, 4), 0, 4);
-      found_five(group);
+      record_group group(seed, group_size::tolerating(2, 4), 0, 4);
+      start_five_voters(group);
       const std::set<std::string> before = group.voters();
       const std::string retired = *std::next(before.begin());
       group.retire(retired);
       run_until_emptied(group, retired);
-      group.wipe(retired); // its machine is gone with its disk
+      group.wipe(retired); // the machine is removed with its disk
       std::vector<std::string> wiped;
       for (const std::string &each : before) {
         if (each != retired && wiped.size() < 2) {
@@ -348,14 +350,14 @@
 
   void a_cut_leader_acknowledges_nothing() {
     record_group group(10);
-    found_with(group, {"a", "b", "c"});
-    const std::string lead = group.leader();
+    start_group(group, {"a", "b", "c"});
+    const std::string leader_name = group.leader();
     for (const std::string &name : group.names()) {
-      if (name != lead) {
-        group.cut(lead, name);
+      if (name != leader_name) {
+        group.cut(leader_name, name);
       }
     }
-    // The client still reaches all of them.
+    // The client can still reach all nodes.
     keep(group, "t", 10, 3000ms);
     group.heal();
     group.run(2000ms);
@@ -364,19 +366,19 @@
 
   void a_frozen_leader_wakes_as_follower() {
     record_group group(11);
-    found_with(group, {"a", "b", "c"});
-    const std::string lead = group.leader();
-    group.freeze(lead);
+    start_group(group, {"a", "b", "c"});
+    const std::string leader_name = group.leader();
+    group.freeze(leader_name);
     keep(group, "t", 10, 3000ms);
-    group.thaw(lead);
+    group.thaw(leader_name);
     group.run(1000ms);
-    CPPUNIT_ASSERT(group.leader() != lead);
+    CPPUNIT_ASSERT(group.leader() != leader_name);
     check_kept(group, "t", 10);
   }
 
   void nothing_piles_up_for_a_node_that_is_cut_off() {
     record_group group(12);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string cut_off = group.leader() == "c" ? "b" : "c";
     group.isolate(cut_off);
     group.run(1500ms);
@@ -384,15 +386,16 @@
     for (int wave = 0; wave < 20; ++wave) {
       keep(group, fmt::format("w{}-", wave), 20, 300ms);
     }
-    // Heartbeats and greetings only, not the 80 KB that were recorded.
+    // Only heartbeats and hello messages are sent, not the 80 KB of log
+    // entries.
     CPPUNIT_ASSERT(group.undeliverable_bytes() - before < 40000);
   }
 
   void a_node_that_wakes_is_not_flooded() {
-    // Refusals of entries that were under way must not each bring the whole
-    // backlog again: a leader went over its memory by that.
+    // Rejections of entries in flight must not each cause the whole backlog to
+    // be sent again, which would exhaust the memory of the leader.
     record_group group(14);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string frozen = group.leader() == "c" ? "b" : "c";
     const std::size_t begin = group.bytes_to(frozen);
     group.freeze(frozen);
@@ -414,9 +417,9 @@
   }
 
   void a_slow_node_is_not_sent_the_same_again() {
-    // What was sent and is not yet acknowledged is on its way, not lost.
+    // Entries that are sent and not yet acknowledged are in flight, not lost.
     record_group group(15);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string slow = group.leader() == "c" ? "b" : "c";
     const std::size_t begin = group.bytes_to(slow);
     group.slow_down(slow, 250ms);
@@ -436,16 +439,16 @@
 
   void budgets_hold_over_a_change_of_leaders() {
     record_group group(13);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     int granted = 0;
     for (int turn = 0; turn < 12; ++turn) {
       const auto id =
           group.begin_turn("p", fmt::format("attempt-{}", turn), 10, 55);
       if (turn % 3 == 0) {
-        const std::string lead = group.leader();
-        group.kill(lead);
+        const std::string leader_name = group.leader();
+        group.kill(leader_name);
         group.run(1500ms);
-        group.start(lead);
+        group.start(leader_name);
       }
       group.run(1500ms);
       CPPUNIT_ASSERT(group.verdict(id).has_value());
@@ -462,8 +465,8 @@
 
 private:
   void a_group_that_bears_two_losses_has_five_voters() {
-    record_group group(5, records::group_size::bearing(2));
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"});
+    record_group group(5, records::group_size::tolerating(2));
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group.voters().size());
     const auto *log = group.at(group.leader()).log();
     std::size_t following = 0;
@@ -478,8 +481,8 @@
   void of_five_voters_two_lose_their_disks_at_once() {
     const std::vector<std::string> all{"a", "b", "c", "d", "e"};
     for (std::size_t first = 0; first + 1 < all.size(); ++first) {
-      record_group group(6 + first, records::group_size::bearing(2));
-      found_with(group, all);
+      record_group group(6 + first, records::group_size::tolerating(2));
+      start_group(group, all);
       keep(group, "t", 10, 500ms);
       for (const std::string &name : all) {
         group.kill(name);
@@ -498,15 +501,16 @@
   void random_pairs_of_losses_lose_nothing() {
     for (std::uint64_t seed = 500; seed < 530; ++seed) {
       run_random(seed, {"a", "b", "c", "d", "e", "f"},
-                 records::group_size::bearing(2), 2);
+                 records::group_size::tolerating(2), 2);
     }
   }
 
   void partitions_are_led_by_different_nodes() {
     std::map<std::string, int> leads;
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
-      record_group group(9, records::group_size::bearing(2, 4), partition, 4);
-      found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+      record_group group(9, records::group_size::tolerating(2, 4), partition,
+                         4);
+      start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
       group.run(8000ms);
       ++leads[group.leader()];
       keep(group, "t", 5, 500ms);
@@ -515,16 +519,16 @@
   }
 
   void questions_that_come_together_share_an_entry() {
-    // Two questions that wait for each other, or not.
+    // Compares runs without and with batching.
     std::uint64_t entries[2] = {};
     for (const bool joined : {false, true}) {
       record_group group(10);
-      group.options().join_interval = joined ? 1000ms : 0ms;
-      found_with(group, {"a", "b", "c"});
+      group.options().batch_interval = joined ? 1000ms : 0ms;
+      start_group(group, {"a", "b", "c"});
       const auto before = group.at(group.leader()).log()->last_index();
       for (int turn = 0; turn < 6; ++turn) {
         group.keep_turn(fmt::format("j{}", turn));
-        group.run(250ms); // a question is sent every 200 ms
+        group.run(250ms); // requests are sent every 200 ms
       }
       group.run(1500ms);
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, group.unanswered());
@@ -536,9 +540,9 @@
   }
 
   void a_question_asked_again_is_recorded_once() {
-    // Whoever waits asks again every 200 ms, and what he asks for takes 300 ms.
+    // The client repeats a request every 200 ms, and its reply takes 300 ms.
     record_group group(41);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     for (const char *name : {"a", "b", "c"}) {
       group.slow_down(name, 150ms);
     }
@@ -551,17 +555,17 @@
                              before.value());
   }
 
-  // Storage nodes that answered late after a return of the whole fleet had
-  // three times as much to record as was asked.
+  // Guards against recording a retransmitted request again when its reply was
+  // late.
   void a_question_whose_answer_is_late_is_recorded_once() {
     record_group group(43);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const auto before = group.at(group.leader()).log()->last_index();
-    group.lose_answers(true);
+    group.lose_replies(true);
     const std::uint64_t id = group.keep_turn("late");
-    group.run(2000ms); // asked again every 200 ms
+    group.run(2000ms); // repeated every 200 ms
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, group.unanswered());
-    group.lose_answers(false);
+    group.lose_replies(false);
     group.run(500ms);
     CPPUNIT_ASSERT(group.verdict(id) == wire::RECORD_DONE);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
@@ -570,24 +574,24 @@
   }
 
   void the_lead_is_handed_over_while_questions_come() {
-    // Followers lag behind a leader that goes on proposing.
+    // Followers lag behind a leader that keeps proposing entries.
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
       std::string led_by[2];
       for (const bool busy : {false, true}) {
-        record_group group(42, records::group_size::bearing(2, 4), partition,
+        record_group group(42, records::group_size::tolerating(2, 4), partition,
                            4);
         for (const char *name : {"a", "b", "c", "d", "e", "f", "g", "h"}) {
           group.add(name);
           group.slow_down(name, 30ms);
         }
-        group.found("a");
+        group.bootstrap("a");
         for (int wave = 0; wave < 800; ++wave) {
           if (busy) {
-            group.ask_at_once(wave);
+            group.submit_once(wave);
           }
           group.run(10ms);
         }
-        group.run(300ms); // an election may be under way
+        group.run(300ms); // an election may be in progress
         led_by[busy ? 1 : 0] = group.leader();
       }
       CPPUNIT_ASSERT_EQUAL(led_by[0], led_by[1]);
@@ -595,13 +599,14 @@
   }
 
   void every_node_names_the_leader() {
-    // A gateway of a large fleet asks any node first; most have no part.
-    record_group group(7, records::group_size::bearing(2, 4), 0, 4);
+    // A gateway of a large fleet may contact any node first; most have no
+    // replica.
+    record_group group(7, records::group_size::tolerating(2, 4), 0, 4);
     std::vector<std::string> names;
     for (char name = 'a'; name < 'a' + 20; ++name) {
       names.emplace_back(1, name);
     }
-    found_with(group, names);
+    start_group(group, names);
     const std::string leader = group.leader();
     CPPUNIT_ASSERT(!leader.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group.voters().size());
@@ -610,7 +615,7 @@
         CPPUNIT_ASSERT_EQUAL(leader, group.leader_named_by(name));
       }
     }
-    // It does not name a leader for long that is gone.
+    // A leader that has failed is not named for long.
     group.kill(leader);
     group.run(6000ms);
     for (const std::string &name : names) {
@@ -621,22 +626,22 @@
   }
 
   void a_node_without_a_part_keeps_to_the_leader() {
-    // Three of eight nodes have no part in this partition.
-    record_group group(44, records::group_size::bearing(2, 4), 0, 4);
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+    // Three of eight nodes have no replica of this partition.
+    record_group group(44, records::group_size::tolerating(2, 4), 0, 4);
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     const std::size_t before = group.hellos();
     group.run(3000ms);
     CPPUNIT_ASSERT(group.hellos() > before);
     CPPUNIT_ASSERT(group.hellos() - before <= 3 * 6);
     for (const std::string &name : group.names()) {
-      CPPUNIT_ASSERT(group.at(name).in_touch(group.now()));
+      CPPUNIT_ASSERT(group.at(name).knows_leader(group.now()));
     }
-    // It is found all the same when a voter is lost for good.
-    const std::string lead = group.leader();
+    // Such a node is still found when a voter is lost for good.
+    const std::string leader_name = group.leader();
     const std::set<std::string> voters = group.voters();
     for (const std::string &name : voters) {
-      if (name != lead) {
+      if (name != leader_name) {
         group.kill(name);
         break;
       }
@@ -647,14 +652,14 @@
   }
 
   void a_node_that_is_back_leads_before_it_has_applied_all() {
-    // All lose power; whoever leads then has the whole log to apply, and must
-    // not keep silent over that.
+    // After a power loss of all nodes, the new leader has the whole log to
+    // apply and must keep sending messages meanwhile.
     record_group group(45);
     group.options().entries_per_step = 4;
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     for (int turn = 0; turn < 60; ++turn) {
       group.keep_turn(fmt::format("t{}", turn));
-      group.run(210ms); // an entry each
+      group.run(210ms); // one entry each
     }
     for (const char *name : {"a", "b", "c"}) {
       group.kill(name);
@@ -665,12 +670,13 @@
     while (group.leader().empty()) {
       group.run(5ms);
     }
-    const std::string lead = group.leader();
-    CPPUNIT_ASSERT(group.at(lead).has_more_to_apply());
+    const std::string leader_name = group.leader();
+    CPPUNIT_ASSERT(group.at(leader_name).has_more_to_apply());
     group.run(4000ms);
-    CPPUNIT_ASSERT_EQUAL(lead, group.leader());
-    CPPUNIT_ASSERT(!group.at(lead).has_more_to_apply());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{60}, group.at(lead).table().turns());
+    CPPUNIT_ASSERT_EQUAL(leader_name, group.leader());
+    CPPUNIT_ASSERT(!group.at(leader_name).has_more_to_apply());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{60},
+                         group.at(leader_name).table().turns());
   }
 
   static void restart(record_group &group,
@@ -684,9 +690,9 @@
     }
   }
 
-  /// Two voters of three remain, and the third machine is taken away.
+  /// Reduces a group of three voters to two and removes the third machine.
   static std::vector<std::string> shrink_to_two(record_group &group) {
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string retired = group.leader() == "c" ? "b" : "c";
     group.retire(retired);
     group.run(1000ms);
@@ -698,9 +704,9 @@
   }
 
   void of_two_one_is_replaced_and_all_restart() {
-    // Played on the bench: nothing was granted again to the end of the day. The
-    // leader that had returned with its disk counted the old voters, one of
-    // them dead, for a change that had long been committed.
+    // Guards against a restarted leader counting the old voters, one of them
+    // dead, for a change that is already committed, so that nothing can be
+    // committed again.
     for (std::size_t wiped = 0; wiped < 2; ++wiped) {
       record_group group(60 + wiped);
       const std::vector<std::string> left = shrink_to_two(group);
@@ -719,8 +725,9 @@
   }
 
   void all_restart_at_any_step_of_a_replacement() {
-    // What is on the disks differs from step to step: the dead identity still
-    // votes, its successor follows, the change is proposed, is committed.
+    // The contents of the disks differ from step to step: the dead identity
+    // still votes, its successor follows, the change is proposed, and
+    // committed.
     for (std::size_t wiped = 0; wiped < 2; ++wiped) {
       for (int step = 0; step < 100; ++step) {
         record_group group(70 + wiped);
@@ -741,7 +748,7 @@
   void all_restart_at_any_step_of_a_removal() {
     for (int step = 0; step < 60; ++step) {
       record_group group(75);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       keep(group, "t", 5, 500ms);
       group.retire(group.leader() == "c" ? "b" : "c");
       group.run(duration_ms{5 * step});
@@ -753,10 +760,10 @@
   }
 
   void a_change_that_was_committed_needs_no_old_voter_after_a_restart() {
-    // Two voters take a third one in. Then one of the two is gone for good, and
-    // the others restart before anybody takes its place.
+    // A group of two adds a third voter. Then one of the first two is lost for
+    // good, and the others restart before it is replaced.
     record_group group(77);
-    found_with(group, {"a", "b"});
+    start_group(group, {"a", "b"});
     keep(group, "t", 5, 500ms);
     group.add("c");
     group.run(4000ms);
@@ -775,11 +782,11 @@
     }
   }
 
-  /// Machines are retired, lose their disks, come back and are added; between
-  /// and during that one of the others, or all, restart with their disks.
+  /// Machines are retired, wiped and added; between and during these changes
+  /// one of the others, or all, restart with their disks.
   static void run_random_changes(std::uint64_t seed) {
     record_group group(seed);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     const std::string message = fmt::format("seed {}", seed);
     std::set<std::string> there{"a", "b", "c"};
     std::vector<std::pair<std::uint64_t, std::string>> asked;
@@ -825,17 +832,17 @@
   }
 
   void a_voter_that_is_back_soon_is_not_replaced() {
-    record_group group(43, records::group_size::bearing(2, 4), 0, 4);
+    record_group group(43, records::group_size::tolerating(2, 4), 0, 4);
     group.options().replace_after = 3000ms;
-    group.options().alive_for = 1200ms;
-    found_with(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
+    group.options().liveness_timeout = 1200ms;
+    start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
     group.run(4000ms);
     const std::set<std::string> voters = group.voters();
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, voters.size());
-    const std::string lead = group.leader();
-    const std::string lost =
-        *std::find_if(voters.begin(), voters.end(),
-                      [&lead](const auto &each) { return each != lead; });
+    const std::string leader_name = group.leader();
+    const std::string lost = *std::find_if(
+        voters.begin(), voters.end(),
+        [&leader_name](const auto &each) { return each != leader_name; });
     const std::size_t added = group.logged(logging::event::record_member_added);
     group.kill(lost);
     group.run(2600ms);
@@ -846,13 +853,13 @@
                          group.logged(logging::event::record_member_added));
   }
 
-  /// @param losses machines that are struck at once.
+  /// @param losses number of machines that fail at once.
   static void
   run_random(std::uint64_t seed,
              const std::vector<std::string> &machines = {"a", "b", "c"},
              records::group_size size = {}, std::size_t losses = 1) {
     record_group group(seed, size);
-    found_with(group, machines);
+    start_group(group, machines);
     const std::string message = fmt::format("seed {}", seed);
     std::vector<std::pair<std::uint64_t, std::string>> asked;
     for (int round = 0; round < 10; ++round) {
@@ -927,20 +934,21 @@
   void a_tenant_stays_within_its_limit_over_changes_of_leaders() {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       record_group group(seed);
-      found_with(group, {"a", "b", "c"});
+      start_group(group, {"a", "b", "c"});
       for (int times = 0; times < 12; ++times) {
-        const std::string lead = group.leader();
-        const std::uint64_t trouble = lead.empty() ? 4 : group.draw() % 4;
+        const std::string leader_name = group.leader();
+        const std::uint64_t trouble =
+            leader_name.empty() ? 4 : group.draw() % 4;
         if (trouble == 0) {
-          group.kill(lead);
+          group.kill(leader_name);
         } else if (trouble == 1) {
-          group.isolate(lead);
+          group.isolate(leader_name);
         } else if (trouble == 2) {
-          group.freeze(lead);
+          group.freeze(leader_name);
         } else if (trouble == 3) {
-          group.wipe(lead);
+          group.wipe(leader_name);
         }
-        ask_permits(group, duration_ms{200 + group.draw() % 1800});
+        request_permits(group, duration_ms{200 + group.draw() % 1800});
         group.heal();
         for (const std::string &name : group.names()) {
           group.thaw(name);
@@ -948,7 +956,7 @@
             group.start(name);
           }
         }
-        ask_permits(group, duration_ms{500 + group.draw() % 2500});
+        request_permits(group, duration_ms{500 + group.draw() % 2500});
       }
       check_limit(group, fmt::format("seed {}", seed));
       CPPUNIT_ASSERT(group.permits_used().size() > 100);
@@ -957,23 +965,23 @@
 
   void a_leader_that_is_cut_off_gives_no_more_than_it_has() {
     record_group group(41);
-    found_with(group, {"a", "b", "c"});
-    ask_permits(group, 3000ms);
-    const std::string lead = group.leader();
+    start_group(group, {"a", "b", "c"});
+    request_permits(group, 3000ms);
+    const std::string leader_name = group.leader();
     for (const std::string &name : group.names()) {
-      if (name != lead) {
-        group.cut(lead, name); // clients reach both sides
+      if (name != leader_name) {
+        group.cut(leader_name, name); // clients reach both sides
       }
     }
-    ask_permits(group, 8000ms);
+    request_permits(group, 8000ms);
     check_limit(group, "a cut leader");
   }
 
   void all_restart_and_no_permit_is_forgotten() {
     record_group group(42);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     for (int times = 0; times < 5; ++times) {
-      ask_permits(group, 1500ms);
+      request_permits(group, 1500ms);
       for (const std::string &name : group.names()) {
         group.kill(name);
       }
@@ -981,34 +989,33 @@
         group.start(name);
       }
     }
-    ask_permits(group, 6000ms);
+    request_permits(group, 6000ms);
     check_limit(group, "restarts");
     CPPUNIT_ASSERT(group.permits_used().size() > 50);
   }
 
   void nobody_but_a_leader_reserves() {
     record_group group(43);
-    found_with(group, {"a", "b", "c"});
+    start_group(group, {"a", "b", "c"});
     wire::RecordChange change;
     change.mutable_reserve_quota()->set_tenant("tenant");
     change.mutable_reserve_quota()->set_wanted(1000);
-    const std::uint64_t id = group.ask(change);
+    const std::uint64_t id = group.submit(change);
     group.run(1000ms);
     CPPUNIT_ASSERT(!group.verdict(id).has_value());
   }
 
-  /// What a leader wanted to reserve waited to be joined with other questions
-  /// while the lead was lost and won again, and was recorded in the new term:
-  /// a reservation that its desk knew nothing of.
+  /// Guards against committing a quota reservation of an earlier term after
+  /// leadership was lost and regained while it waited for its batch.
   void what_was_wanted_in_an_earlier_term_is_not_reserved() {
     record_group group(44);
-    group.options().join_interval = 3000ms;
-    found_with(group, {"a"});
+    group.options().batch_interval = 3000ms;
+    start_group(group, {"a"});
     group.keep_turn("t");
-    group.run(100ms); // whatever comes now is joined with later questions
-    group.ask_permit("a");
+    group.run(100ms); // requests from now on wait for the next batch
+    group.request_permit("a");
     group.run(100ms);
-    group.claim_lead("a", 1000);
+    group.claim_leadership("a", 1000);
     group.run(6000ms);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), group.leader());
     CPPUNIT_ASSERT(group.at("a").log()->term().value() > 1000);
--- a/tests/records/record_memory_test.cpp
+++ b/tests/records/record_memory_test.cpp
@@ -1,19 +1,6 @@
-// Storage nodes ran out of memory: by and by while turns were kept, and within
-// a second of every start once the whole group had restarted.
-//
-// Sequence: turns of some kilobytes are kept, more of them than the machine has
-// memory for, though its disk has room; then the process starts again. Cause:
-// each turn was held twice, in the log and in the state, the log in memory was
-// bounded by its entries and not by their bytes, and a start read the whole log
-// of up to 24 MB a partition back. Settled by `record_log_recovered`, base 0
-// with 2,657 and more entries in each of four partitions, and a process of 124
-// MB after a minute in which 0.6 to 1.5 MB a second came in.
-//
-// Later a run beside heavy compiling passed the bound now and then. The log in
-// memory was let grow to twice the bytes that it is to keep before any were
-// dropped: 7.90 MB of heap in each of 60 runs, 30 at a time, 1.3 % below the
-// bound, and 8.06 MB in the one run in which a request of 160 KB that was sent
-// again (151 messages for 150 requests) still waited when the heap was read.
+// Guards against memory use that grows with the stored turns: bodies must be
+// held on disk only, the log in memory must be bounded by bytes, and a restart
+// must not read back more of the log than memory holds.
 #include "records/record_runtime.hpp"
 
 #include "support/temporary_directory.hpp"
@@ -37,7 +24,8 @@
 constexpr std::size_t turn_bytes = 8000;
 constexpr std::size_t turns = 3000;
 constexpr std::size_t turns_a_request = 20;
-/// A third of what is kept; log, caches and indices need about a half of it.
+/// A third of the stored bytes; the log, caches and indices need about half of
+/// that.
 constexpr std::size_t most_heap_bytes = turn_bytes * turns / 3;
 constexpr std::uint64_t keep_ms = 600000;
 
@@ -61,7 +49,7 @@
 
 std::string id_of(std::size_t turn) { return fmt::format("turn-{}", turn); }
 
-/// One storage node that is the whole group, with its disk in `directory`.
+/// A group of a single storage node with its disk in `directory`.
 class running_node {
 public:
   running_node(const std::string &directory, bool is_first) {
@@ -74,7 +62,7 @@
         io_, self, std::move(disks).value(), record_node_options{});
     CPPUNIT_ASSERT(runtime_->start(address_));
     if (is_first) {
-      runtime_->found();
+      runtime_->bootstrap();
     }
     run_until([this] { return runtime_->leads_any(); });
   }
@@ -84,7 +72,8 @@
     while (!reached() && std::chrono::steady_clock::now() < give_up) {
       io_.run_one_for(10ms);
     }
-    CPPUNIT_ASSERT_MESSAGE("waited in vain", reached());
+    CPPUNIT_ASSERT_MESSAGE("the condition was not reached within 30 s",
+                           reached());
   }
 
   [[nodiscard]] const std::string &address() const { return address_; }
@@ -95,10 +84,10 @@
   std::unique_ptr<record_runtime> runtime_;
 };
 
-/// Asks a node and collects its answers.
-class asker {
+/// Sends requests to a node and collects the replies.
+class record_client {
 public:
-  asker() {
+  record_client() {
     auto started = rpc::transport::start(
         {.address = address_, .cluster = "records"},
         [this](const wire::Envelope &envelope) { take(envelope); });
@@ -106,10 +95,10 @@
     transport_ = std::move(started).value();
   }
 
-  /// Asks until all changes are answered.
+  /// Submits changes and repeats them until all are answered.
   /// @return the answers in order.
   std::vector<wire::RecordReplyItem>
-  ask(running_node &node, const std::vector<wire::RecordChange> &changes) {
+  submit(running_node &node, const std::vector<wire::RecordChange> &changes) {
     wire::Envelope envelope;
     wire::RecordRequest &request = *envelope.mutable_record_request();
     request.set_reply_to(address_);
@@ -176,21 +165,22 @@
   return change;
 }
 
-/// Conversations of as many turns as one request keeps.
-void keep_turns(running_node &node, asker &client) {
+/// Stores conversations with as many turns as one request contains.
+void keep_turns(running_node &node, record_client &client) {
   for (std::size_t first = 0; first < turns; first += turns_a_request) {
     std::vector<wire::RecordChange> changes;
     for (std::size_t each = first; each < first + turns_a_request; ++each) {
       changes.push_back(keep_turn(each, std::max(first, each - 1)));
     }
-    client.ask(node, changes);
+    client.submit(node, changes);
   }
 }
 
-void assert_history(running_node &node, asker &client, std::size_t first) {
+void assert_history(running_node &node, record_client &client,
+                    std::size_t first) {
   wire::RecordChange change;
   change.mutable_read()->set_last(id_of(first + turns_a_request - 1));
-  const auto answer = client.ask(node, {change}).front();
+  const auto answer = client.submit(node, {change}).front();
   CPPUNIT_ASSERT_EQUAL(wire::RECORD_GRANTED, answer.verdict());
   CPPUNIT_ASSERT_EQUAL(static_cast<int>(turns_a_request),
                        answer.history_size());
@@ -214,7 +204,7 @@
 
 public:
   void kept_turns_take_disk_and_not_memory() {
-    asker client;
+    record_client client;
     const std::size_t before = heap_bytes();
     running_node node(directory_, true);
     keep_turns(node, client);
@@ -226,7 +216,7 @@
   }
 
   void a_start_reads_no_more_than_the_memory_holds() {
-    asker client;
+    record_client client;
     {
       running_node node(directory_, true);
       keep_turns(node, client);
