--- a/src/forwarding/attempt_plan.cpp
+++ b/src/forwarding/attempt_plan.cpp
@@ -9,13 +9,13 @@
                            plan_limits limits)
     : repeatable_(repeatable), max_attempts_(std::max(max_attempts, 1U)),
       arrived_(arrived), deadline_(deadline), limits_(limits),
-      pause_(limits.first_pause) {}
+      backoff_(limits.initial_backoff) {}
 
 void attempt_plan::on_attempt(const routing::incarnation &instance,
                               attempt_outcome outcome) {
   if (outcome == attempt_outcome::lost) {
     may_have_run_ = true;
-    ran_at_.insert(instance);
+    possible_executors_.insert(instance);
     ++losses_;
     return;
   }
@@ -23,10 +23,10 @@
 }
 
 void attempt_plan::on_instance_ended(const routing::incarnation &instance) {
-  ran_at_.erase(instance);
+  possible_executors_.erase(instance);
 }
 
-void attempt_plan::on_no_candidate() { exhausted_ = true; }
+void attempt_plan::on_no_candidate() { no_candidate_ = true; }
 
 next_step attempt_plan::next(timestamp now) {
   if (now >= deadline_) {
@@ -35,60 +35,64 @@
   if (may_have_run_ && !repeatable_) {
     return give_up("may have run and must not run twice");
   }
-  if (losses_ >= limits_.repeats) {
+  if (losses_ >= limits_.max_losses) {
     return give_up("too many attempts were lost");
   }
-  if (!barred_.empty()) {
-    return give_up(barred_);
+  if (!blocked_reason_.empty()) {
+    return give_up(blocked_reason_);
   }
-  if (warming_until_) {
+  if (next_admission_) {
     return wait_for_warm_up(now);
   }
-  const bool places_used_up = ran_at_.size() >= max_attempts_;
-  if (exhausted_) {
-    exhausted_ = false;
-    const bool only_others_asked = !places_used_up && !ran_at_.empty();
-    if (only_others_asked && !asks_again_) {
+  const bool replica_limit_reached =
+      possible_executors_.size() >= max_attempts_;
+  if (no_candidate_) {
+    no_candidate_ = false;
+    const bool only_new_replicas_tried =
+        !replica_limit_reached && !possible_executors_.empty();
+    if (only_new_replicas_tried && !retrying_possible_executors_) {
       // Nobody else is there: a replica that may have run it may run it again.
-      asks_again_ = true;
-      return send_step{.excluded = refused_by_, .only = ran_at_};
+      retrying_possible_executors_ = true;
+      return send_step{.excluded = refused_by_, .only = possible_executors_};
     }
-    asks_again_ = false;
-    if (places_used_up && refused_by_.empty()) {
+    retrying_possible_executors_ = false;
+    if (replica_limit_reached && refused_by_.empty()) {
       return give_up("the replicas that may have run it are gone");
     }
-    if (now + pause_ >= patience_ends()) {
+    if (now + backoff_ >= wait_deadline()) {
       return give_up("no replica took it in time");
     }
     refused_by_.clear();
-    const wait_step step{pause_};
-    pause_ = std::min(2 * pause_, limits_.longest_pause);
+    const wait_step step{backoff_};
+    backoff_ = std::min(2 * backoff_, limits_.max_backoff);
     return step;
   }
   send_step step{.excluded = refused_by_, .only = {}};
-  if (places_used_up) {
-    step.only = ran_at_;
+  if (replica_limit_reached) {
+    step.only = possible_executors_;
   } else {
-    step.excluded.insert(ran_at_.begin(), ran_at_.end());
+    step.excluded.insert(possible_executors_.begin(),
+                         possible_executors_.end());
   }
   return step;
 }
 
-timestamp attempt_plan::patience_ends() const {
+timestamp attempt_plan::wait_deadline() const {
   return arrived_ + std::chrono::duration_cast<duration_ms>(
-                        limits_.patience * (deadline_ - arrived_));
+                        limits_.wait_fraction * (deadline_ - arrived_));
 }
 
 next_step attempt_plan::wait_for_warm_up(timestamp now) {
-  const timestamp free_at = *warming_until_;
-  warming_until_.reset();
-  if (free_at >= patience_ends()) {
+  const timestamp next_admission = *next_admission_;
+  next_admission_.reset();
+  if (next_admission >= wait_deadline()) {
     return give_up("all replicas are warming up");
   }
   refused_by_.clear();
   // Another one may come or become warm meanwhile.
-  const duration_ms pause = std::max(free_at - now, limits_.first_pause);
-  return wait_step{std::min(pause, limits_.longest_pause)};
+  const duration_ms pause =
+      std::max(next_admission - now, limits_.initial_backoff);
+  return wait_step{std::min(pause, limits_.max_backoff)};
 }
 
 answer_step attempt_plan::give_up(std::string_view reason) const {
@@ -98,7 +102,7 @@
     return {.status = bad_gateway, .retry_after = {}, .reason = reason};
   }
   return {.status = unavailable,
-          .retry_after = limits_.come_back_after,
+          .retry_after = limits_.retry_delay,
           .reason = reason};
 }
 
--- a/src/forwarding/attempt_plan.hpp
+++ b/src/forwarding/attempt_plan.hpp
@@ -53,12 +53,12 @@
 
 struct plan_limits {
   /// Attempts after a loss, whichever replicas they go to.
-  std::uint32_t repeats = 4;
+  std::uint32_t max_losses = 4;
   /// Share of the time until the deadline that a request waits for a place.
-  double patience = 0.45;
-  duration_ms first_pause{4};
-  duration_ms longest_pause{50};
-  duration_ms come_back_after{150};
+  double wait_fraction = 0.45;
+  duration_ms initial_backoff{4};
+  duration_ms max_backoff{50};
+  duration_ms retry_delay{150};
 };
 
 class attempt_plan {
@@ -79,15 +79,17 @@
   /// at once instead of waiting in vain.
   /// @param reason outlives the plan.
   /// @param come_back_after when that may have passed.
-  void on_barred(std::string_view reason, duration_ms come_back_after) {
-    barred_ = reason;
-    limits_.come_back_after = come_back_after;
+  void on_blocked(std::string_view reason, duration_ms retry_delay) {
+    blocked_reason_ = reason;
+    limits_.retry_delay = retry_delay;
   }
 
   /// All replicas that fit are warming up, and one may be sent the request at
   /// `free_at`. It waits until then, or is answered at once where that is later
   /// than it would wait for a place.
-  void on_warming_up(timestamp free_at) { warming_until_ = free_at; }
+  void on_warming_up(timestamp next_admission) {
+    next_admission_ = next_admission;
+  }
 
   [[nodiscard]] next_step next(timestamp now);
 
@@ -98,7 +100,7 @@
   [[nodiscard]] answer_step give_up(std::string_view reason) const;
   [[nodiscard]] next_step wait_for_warm_up(timestamp now);
   /// Until when it waits for a place.
-  [[nodiscard]] timestamp patience_ends() const;
+  [[nodiscard]] timestamp wait_deadline() const;
 
   bool repeatable_;
   std::uint32_t max_attempts_;
@@ -108,16 +110,16 @@
 
   bool may_have_run_ = false;
   /// Replicas, still there, that may have run it.
-  std::set<routing::incarnation> ran_at_;
+  std::set<routing::incarnation> possible_executors_;
   /// Replicas that turned it down since the last pause.
   std::set<routing::incarnation> refused_by_;
   std::uint32_t losses_ = 0;
-  bool exhausted_ = false;
-  std::string_view barred_; // empty: not barred
-  std::optional<timestamp> warming_until_;
+  bool no_candidate_ = false;
+  std::string_view blocked_reason_; // empty: not barred
+  std::optional<timestamp> next_admission_;
   /// Set while the step is for those that may have run it, for want of others.
-  bool asks_again_ = false;
-  duration_ms pause_;
+  bool retrying_possible_executors_ = false;
+  duration_ms backoff_;
 };
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/client_session.cpp
+++ b/src/forwarding/client_session.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t first_read_bytes = 16384;
 /// A client that rests longer than the limit by this much is closed; one that
 /// comes back just in time is served.
-constexpr duration_ms resting_slack{1000};
+constexpr duration_ms idle_slack{1000};
 constexpr duration_ms linger_limit{500};
 constexpr duration_ms accept_pause{20};
 
@@ -88,7 +88,7 @@
 asio::awaitable<void> client_session::run() {
   const auto self = shared_from_this();
   make_live(socket_, gateway_.options().pool.liveness);
-  enter(phase::resting, duration_ms{15000});
+  enter(phase::idle, duration_ms{15000});
   asio::co_spawn(gateway_.io(), watch_deadline(), asio::detached);
   bool open = true;
   while (open) {
@@ -112,7 +112,7 @@
 }
 
 void client_session::begin_drain() {
-  if (phase_ == phase::resting && buffer_.size() == 0) {
+  if (phase_ == phase::idle && buffer_.size() == 0) {
     boost::system::error_code ignored;
     socket_.cancel(ignored);
   }
@@ -124,7 +124,7 @@
                                             : routing::client_limits{};
   timed_out_ = false;
   if (buffer_.size() == 0) {
-    enter(phase::resting, limits.idle_timeout + resting_slack);
+    enter(phase::idle, limits.idle_timeout + idle_slack);
     const auto [failure, bytes] = co_await socket_.async_read_some(
         buffer_.prepare(first_read_bytes), as_result);
     if (failure) {
@@ -163,9 +163,12 @@
       beast_http::token_list(parser.get()[beast_http::field::expect])
           .exists("100-continue");
   if (expects) {
-    constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+    constexpr std::string_view continue_response =
+        "HTTP/1.1 100 Continue\r\n\r\n";
     const auto [lost, written] = co_await asio::async_write(
-        socket_, asio::buffer(go_on.data(), go_on.size()), as_result);
+        socket_,
+        asio::buffer(continue_response.data(), continue_response.size()),
+        as_result);
     co_return !lost;
   }
   co_return true;
--- a/src/forwarding/client_session.hpp
+++ b/src/forwarding/client_session.hpp
@@ -28,13 +28,13 @@
   /// Closes the connection now when it rests, else behind its next answer.
   void begin_drain();
   /// The gateway has ended first: it is not to be used from here on.
-  void on_gateway_gone() { registered_ = false; }
+  void on_gateway_destroyed() { registered_ = false; }
 
   [[nodiscard]] tcp::socket &socket() { return socket_; }
 
 private:
   /// What the connection waits for; each has its own time limit.
-  enum class phase : std::uint8_t { resting, header, body, serving };
+  enum class phase : std::uint8_t { idle, header, body, serving };
   using request_parser = beast_http::request_parser<beast_http::string_body>;
 
   void enter(phase next, duration_ms limit);
@@ -52,7 +52,7 @@
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   asio::steady_timer timer_;
-  phase phase_ = phase::resting;
+  phase phase_ = phase::idle;
   timestamp deadline_{};
   bool timed_out_ = false;
   bool closed_ = false;
--- a/src/forwarding/drain_monitor.cpp
+++ b/src/forwarding/drain_monitor.cpp
@@ -27,7 +27,7 @@
                 for (const objects::object &each : listed.items) {
                   zones.insert(each.name);
                 }
-                take_list(zones, steady_now());
+                apply_listing(zones, steady_now());
               },
           .on_change =
               [this](const objects::change &changed) {
@@ -41,8 +41,8 @@
               [this](timestamp moment) { replicas_.drains().confirm(moment); }};
 }
 
-void drain_monitor::take_list(const std::set<std::string> &zones,
-                              timestamp now) {
+void drain_monitor::apply_listing(const std::set<std::string> &zones,
+                                  timestamp now) {
   std::vector<std::string> ended;
   for (const auto &[zone, drain] : replicas_.drains().all()) {
     if (!zones.contains(zone)) {
--- a/src/forwarding/drain_monitor.hpp
+++ b/src/forwarding/drain_monitor.hpp
@@ -27,7 +27,7 @@
   void refresh_metrics(timestamp now);
 
 private:
-  void take_list(const std::set<std::string> &zones, timestamp now);
+  void apply_listing(const std::set<std::string> &zones, timestamp now);
   void begin(const std::string &zone, timestamp now);
   void end(const std::string &zone, timestamp now);
 
--- a/src/forwarding/gateway.cpp
+++ b/src/forwarding/gateway.cpp
@@ -17,13 +17,13 @@
       tenants_(options_.tenants), pool_(io, options_.pool),
       replicas_(options_.selection, pool_), turns_(options_.turn_cache_bytes) {
   if (!options_.selection.policies.patience) {
-    options_.plan.patience = 0;
+    options_.plan.wait_fraction = 0;
   }
 }
 
 gateway::~gateway() {
   for (client_session *session : sessions_) {
-    session->on_gateway_gone();
+    session->on_gateway_destroyed();
   }
 }
 
@@ -36,14 +36,14 @@
       .field("before", routes_ ? routes_->version().value() : 0)
       .field("routes", settings.routes.size())
       .write();
-  note_homes(settings);
+  apply_home_regions(settings);
   metrics_.set_configuration_version(
       static_cast<double>(settings.version.value()));
   routes_ = std::make_shared<const routing::route_table>(std::move(settings));
   replicas_.apply(routes_);
 }
 
-void gateway::note_homes(const routing::configuration &settings) {
+void gateway::apply_home_regions(const routing::configuration &settings) {
   const bool moved =
       routes_ != nullptr && !routing::same_homes(routes_->settings(), settings);
   if (moved) {
@@ -69,13 +69,13 @@
   return decided;
 }
 
-void gateway::note_permit(const client_request &request,
-                          const records::permit_request &wanted,
-                          const records::permit_answer &answer) {
+void gateway::record_permit(const client_request &request,
+                            const records::permit_request &wanted,
+                            const records::permit_answer &answer) {
   const bool granted = answer.verdict == records::permit_verdict::granted;
   metrics_.on_permit(std::string(name_of(answer.verdict)));
   if (granted) {
-    tenants_.note_begun(request);
+    tenants_.record_program_start(request);
   }
   constexpr std::uint64_t noted_share = 2; // of the limit, a half
   if (granted && answer.counted * noted_share < answer.limit) {
@@ -95,9 +95,9 @@
 }
 
 std::optional<refusal_cause>
-gateway::objection(const client_request &request,
-                   const routing::route &route) const {
-  return tenants_.objection(request, route, *routes_, steady_now());
+gateway::recheck_admission(const client_request &request,
+                           const routing::route &route) const {
+  return tenants_.recheck_admission(request, route, *routes_, steady_now());
 }
 
 duration_ms gateway::unconfirmed_retry() {
--- a/src/forwarding/gateway.hpp
+++ b/src/forwarding/gateway.hpp
@@ -69,7 +69,8 @@
                   const routing::route_table &routes);
   /// Why a request that was admitted may not be sent any more, if it may not.
   [[nodiscard]] std::optional<refusal_cause>
-  objection(const client_request &request, const routing::route &route) const;
+  recheck_admission(const client_request &request,
+                    const routing::route &route) const;
   /// The configuration was current at `moment`.
   void confirm_configuration(timestamp moment) { tenants_.confirm(moment); }
   /// Tells whether the other gateways cannot confirm theirs either.
@@ -80,9 +81,9 @@
   /// where another gateway can serve, else when the store may be back.
   [[nodiscard]] duration_ms unconfirmed_retry();
   /// Tells the log and the metrics how a request for a permit was answered.
-  void note_permit(const client_request &request,
-                   const records::permit_request &wanted,
-                   const records::permit_answer &answer);
+  void record_permit(const client_request &request,
+                     const records::permit_request &wanted,
+                     const records::permit_answer &answer);
 
   /// True once routes, replicas and the zones that are drained are known, until
   /// this gateway's own drain begins, and while
@@ -90,11 +91,12 @@
   [[nodiscard]] bool ready() const {
     return !draining_ && routes_ != nullptr &&
            replicas_.directory().size() > 0 && replicas_.drains().known() &&
-           !ledger_.cut_off() && keys_hold();
+           !ledger_.cut_off() && keys_are_fresh();
   }
   /// False while the configuration is too old to tell whose a key is.
-  [[nodiscard]] bool keys_hold() const {
-    return routes_ != nullptr && tenants_.keys_hold(*routes_, steady_now());
+  [[nodiscard]] bool keys_are_fresh() const {
+    return routes_ != nullptr &&
+           tenants_.keys_are_fresh(*routes_, steady_now());
   }
   /// From now on new requests are refused as not run: what is left of the time
   /// to stop is for those under way.
@@ -106,8 +108,8 @@
   [[nodiscard]] bool draining() const { return draining_; }
   /// True while clients had better come to another gateway with their next
   /// request: their connections are closed behind the answers.
-  [[nodiscard]] bool sends_clients_on() const {
-    return draining_ || ledger_.cut_off() || !keys_hold();
+  [[nodiscard]] bool should_close_connections() const {
+    return draining_ || ledger_.cut_off() || !keys_are_fresh();
   }
   [[nodiscard]] std::size_t open_requests() const { return open_requests_; }
   /// True while no client is connected.
@@ -132,7 +134,7 @@
 private:
   /// Drops copies that may lie here no longer, and tells of home regions that
   /// nobody knows.
-  void note_homes(const routing::configuration &settings);
+  void apply_home_regions(const routing::configuration &settings);
 
   asio::io_context &io_;
   gateway_options options_;
--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -34,14 +34,14 @@
 constexpr duration_ms drain_check{50};
 /// The entry needs two probes to see that this gateway is leaving; until then
 /// new connections still come.
-constexpr duration_ms least_drain{2600};
+constexpr duration_ms min_drain{2600};
 constexpr duration_ms exit_margin{500};
-constexpr duration_ms first_lookup_pause{250};
+constexpr duration_ms initial_lookup_interval{250};
 constexpr duration_ms contact_check{100};
 /// Rounds of asking other gateways for the storage nodes before the store is
 /// asked: at the start of the whole system nobody knows them for a while.
 constexpr int rounds_without_store = 4;
-constexpr duration_ms longest_lookup_pause{4000};
+constexpr duration_ms max_lookup_interval{4000};
 constexpr std::uint32_t status_not_found = 404;
 constexpr std::uint32_t status_unavailable = 503;
 
@@ -57,14 +57,14 @@
 private:
   void send(const std::string &address, const wire::Envelope &envelope);
   records::ledger_options make_ledger_options();
-  void take_configuration(const objects::object &object);
+  void apply_configuration(const objects::object &object);
   objects::object_watch::handlers configuration_handlers();
   objects::object_watch::handlers instance_handlers();
   http::page peer_page(std::string_view target);
   asio::awaitable<void> housekeeping();
   asio::awaitable<void> find_record_group();
   /// Notices that the record group is not heard, and asks others about it.
-  asio::awaitable<void> watch_contact();
+  asio::awaitable<void> monitor_group_contact();
   /// Looks the storage nodes up: with other gateways first, for a call to the
   /// store has its price.
   asio::awaitable<bool> look_up_members(bool may_ask_store);
@@ -159,13 +159,15 @@
   gateway_.set_unconfirmed_everywhere(
       [this] { return follower_.nobody_is_current(); });
   const auto not_relayed = [this] { return !follower_.is_current(); };
-  const auto relays_in_vain = [this] { return follower_.nobody_is_current(); };
+  const auto no_relay_is_current = [this] {
+    return follower_.nobody_is_current();
+  };
   configuration_watch_.emplace(
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.configuration_kind,
           .wanted = not_relayed,
-          .others_ask_in_vain = relays_in_vain,
+          .others_ask_in_vain = no_relay_is_current,
           .confirm_interval =
               2 * objects::confirm_interval(settings_.key_revocation)},
       configuration_handlers());
@@ -175,7 +177,7 @@
           .kind = binding.instance_kind,
           .least_interval = objects::instance_interval(settings_.drain_notice),
           .wanted = not_relayed,
-          .others_ask_in_vain = relays_in_vain},
+          .others_ask_in_vain = no_relay_is_current},
       instance_handlers());
   follower_.add(binding.configuration_kind, *configuration_watch_);
   follower_.add(binding.instance_kind, *instance_watch_);
@@ -188,7 +190,7 @@
             // is not asked for: while the store is away every gateway would.
             .wait = settings_.zone_drain / 2,
             .wanted = not_relayed,
-            .others_ask_in_vain = relays_in_vain},
+            .others_ask_in_vain = no_relay_is_current},
         drain_monitor_.handlers());
     follower_.add(binding.zone_drain_kind, *drain_watch_);
   }
@@ -231,7 +233,7 @@
   options.loads = [this] { return gateway_.replicas().engine_loads(); };
   options.on_loads = [this](const wire::SharedLoads &shared) {
     gateway_.metrics().set_sharing_gateways(shared.gateways());
-    gateway_.replicas().take_shared_loads(shared);
+    gateway_.replicas().apply_shared_loads(shared);
   };
   options.on_seen = [this](const wire::SeenRevisions &seen) {
     configuration_watch_->hint(seen.configuration());
@@ -248,13 +250,13 @@
       .on_listing =
           [this](const objects::listing &listed) {
             for (const objects::object &each : listed.items) {
-              take_configuration(each);
+              apply_configuration(each);
             }
           },
       .on_change =
           [this](const objects::change &changed) {
             if (!changed.deleted) {
-              take_configuration(changed.changed);
+              apply_configuration(changed.changed);
             }
           },
       .on_confirmed =
@@ -295,7 +297,7 @@
               }};
 }
 
-void gateway_process::take_configuration(const objects::object &object) {
+void gateway_process::apply_configuration(const objects::object &object) {
   if (object.name != binding_.configuration_name) {
     return;
   }
@@ -378,7 +380,7 @@
   }
   asio::co_spawn(io_, follower_.run(), asio::detached);
   asio::co_spawn(io_, find_record_group(), asio::detached);
-  asio::co_spawn(io_, watch_contact(), asio::detached);
+  asio::co_spawn(io_, monitor_group_contact(), asio::detached);
   asio::co_spawn(io_, ledger_.run(), asio::detached);
   asio::co_spawn(io_, accept_clients(gateway_, *acceptor_), asio::detached);
   asio::co_spawn(io_, housekeeping(), asio::detached);
@@ -404,17 +406,17 @@
   // A gateway that others ask must not wait for them.
   const bool is_seed = other_seeds(settings_).size() < settings_.seeds.size();
   int rounds = is_seed ? rounds_without_store : 0;
-  duration_ms pause = first_lookup_pause;
+  duration_ms pause = initial_lookup_interval;
   while (true) {
     if (ledger_.is_lost()) {
       const bool knew_some = ledger_.members().members_size() > 0;
       co_await look_up_members(knew_some || rounds >= rounds_without_store);
       ++rounds;
       // The nodes change rarely: what is known is most likely still true.
-      pause = knew_some ? std::min(2 * pause, longest_lookup_pause)
-                        : first_lookup_pause;
+      pause = knew_some ? std::min(2 * pause, max_lookup_interval)
+                        : initial_lookup_interval;
     } else {
-      pause = first_lookup_pause;
+      pause = initial_lookup_interval;
     }
     timer.expires_after(pause);
     co_await timer.async_wait(as_result);
@@ -446,14 +448,14 @@
   co_return listed.has_value();
 }
 
-asio::awaitable<void> gateway_process::watch_contact() {
+asio::awaitable<void> gateway_process::monitor_group_contact() {
   asio::steady_timer timer(io_);
   while (true) {
     timer.expires_after(contact_check);
     co_await timer.async_wait(as_result);
     ledger_.check_contact();
     if (ledger_.contact().state() != records::contact_state::in_touch) {
-      ledger_.on_peer_opinion(co_await contacts_.ask());
+      ledger_.on_peer_opinion(co_await contacts_.poll());
     }
   }
 }
@@ -470,7 +472,7 @@
   asio::steady_timer timer(io_);
   while (steady_now() < last) {
     const bool idle = gateway_.open_requests() == 0 && ledger_.unsettled() == 0;
-    if (steady_now() >= begun + least_drain) {
+    if (steady_now() >= begun + min_drain) {
       // The entry may still send clients here when its zone has nobody else.
       gateway_.refuse_new_requests();
       if (idle) {
--- a/src/forwarding/peer_contacts.cpp
+++ b/src/forwarding/peer_contacts.cpp
@@ -23,36 +23,36 @@
   }
 }
 
-asio::awaitable<void> peer_contacts::ask_one(std::shared_ptr<peer> asked,
-                                             std::shared_ptr<tally> counted) {
+asio::awaitable<void> peer_contacts::poll_one(std::shared_ptr<peer> asked,
+                                              std::shared_ptr<tally> counted) {
   const auto answer = co_await asked->client.call(
       http::get_request(asked->address, std::string(peer_contact_path)),
       answer_limit);
   if (answer) {
     ++counted->answers;
-    counted->hear_it +=
+    counted->reachable +=
         answer->result() == boost::beast::http::status::ok ? 1 : 0;
   }
 }
 
-asio::awaitable<records::peer_opinion> peer_contacts::ask() {
+asio::awaitable<records::peer_opinion> peer_contacts::poll() {
   if (peers_.empty()) {
     co_return records::peer_opinion::nobody_known;
   }
   const auto counted = std::make_shared<tally>();
   for (const auto &each : peers_) {
-    asio::co_spawn(io_, ask_one(each, counted), asio::detached);
+    asio::co_spawn(io_, poll_one(each, counted), asio::detached);
   }
   // One that hears the group is enough; silence has to be waited for.
   constexpr duration_ms check_interval{20};
   const timestamp last = steady_now() + answer_limit;
   asio::steady_timer timer(io_);
-  while (counted->hear_it == 0 && counted->answers < peers_.size() &&
+  while (counted->reachable == 0 && counted->answers < peers_.size() &&
          steady_now() < last) {
     timer.expires_after(check_interval);
     co_await timer.async_wait(as_result);
   }
-  if (counted->hear_it > 0) {
+  if (counted->reachable > 0) {
     co_return records::peer_opinion::heard;
   }
   co_return counted->answers > 0 ? records::peer_opinion::unheard
--- a/src/forwarding/peer_contacts.hpp
+++ b/src/forwarding/peer_contacts.hpp
@@ -23,20 +23,20 @@
                 const std::vector<std::string> &addresses);
 
   /// Asks all of them at the same time. Returns within half a second.
-  asio::awaitable<records::peer_opinion> ask();
+  asio::awaitable<records::peer_opinion> poll();
 
 private:
   struct tally {
     std::size_t answers = 0;
-    std::size_t hear_it = 0;
+    std::size_t reachable = 0;
   };
   struct peer {
     std::string address;
     http::call_client client;
   };
 
-  static asio::awaitable<void> ask_one(std::shared_ptr<peer> asked,
-                                       std::shared_ptr<tally> counted);
+  static asio::awaitable<void> poll_one(std::shared_ptr<peer> asked,
+                                        std::shared_ptr<tally> counted);
 
   asio::io_context &io_;
   std::vector<std::shared_ptr<peer>> peers_;
--- a/src/forwarding/program_turn.cpp
+++ b/src/forwarding/program_turn.cpp
@@ -13,9 +13,9 @@
 /// Share of the time until the deadline that a turn waits for its grant. What
 /// is refused after half of the time might as well have been held to the end:
 /// the client has no time left to ask again.
-constexpr double grant_patience = 0.4;
+constexpr double grant_wait_fraction = 0.4;
 /// A turn that nothing else bounds is kept at least this long.
-constexpr duration_ms least_keep{60000};
+constexpr duration_ms min_retention{60000};
 constexpr std::uint64_t unlimited_budget = 1ULL << 62U;
 
 /// A client's name as the record group knows it. No tenant's name holds a line
@@ -58,12 +58,12 @@
                            const tenant_id &tenant, timestamp deadline)
     : gateway_(shared), request_(request), route_(route),
       home_(std::move(home)), deadline_(deadline),
-      patience_ends_(request.arrived +
+      wait_deadline_(request.arrived +
                      std::chrono::duration_cast<duration_ms>(
-                         grant_patience * (deadline - request.arrived))),
+                         grant_wait_fraction * (deadline - request.arrived))),
       turn_(header_of(request, tenant)),
       attempt_(scoped(tenant, request.attempt_id)),
-      kept_for_(std::max(route.retention, least_keep)),
+      retention_(std::max(route.retention, min_retention)),
       previous_(route.retained ? turn_.previous : std::string()) {
   if (previous_.empty()) {
     return;
@@ -91,37 +91,37 @@
          home_.allows(gateway_.replicas().places().region());
 }
 
-records::turn_request program_turn::wanted() const {
+records::turn_request program_turn::make_request() const {
   return {.program = turn_.program,
           .attempt = attempt_,
           .budget = turn_.budget,
           .most = turn_.most_tokens,
           .previous = previous_,
           .want_history = !previous_.empty() && !history_known_,
-          .keep = kept_for_};
+          .keep = retention_};
 }
 
 asio::awaitable<records::turn_verdict> program_turn::begin() {
   const timestamp asked = steady_now();
-  grant_ = co_await gateway_.ledger().begin(wanted(), patience_ends_);
+  grant_ = co_await gateway_.ledger().begin(make_request(), wait_deadline_);
   gateway_.metrics().on_turn_verdict(
       std::string(name_of(grant_.verdict)),
       std::chrono::duration<double>(steady_now() - asked).count());
   if (grant_.verdict == records::turn_verdict::granted) {
     granted_ = true;
     granted_at_ = steady_now();
-    take_history(grant_.history);
+    append_history(grant_.history);
   }
   co_return grant_.verdict;
 }
 
-bool program_turn::budget_is_tied_up() const {
+bool program_turn::budget_is_only_reserved() const {
   return grant_.verdict == records::turn_verdict::budget_spent &&
          grant_.reserved > 0 &&
          grant_.spent + turn_.most_tokens <= turn_.budget;
 }
 
-void program_turn::take_history(
+void program_turn::append_history(
     const std::vector<records::retained_turn> &turns) {
   for (const records::retained_turn &each : turns) {
     history_ += each.input;
@@ -139,8 +139,8 @@
   }
 }
 
-asio::awaitable<bool> program_turn::keep(std::uint64_t used_tokens,
-                                         records::turn_place place) {
+asio::awaitable<bool> program_turn::record_end(std::uint64_t used_tokens,
+                                               records::turn_place place) {
   records::turn_end end{.program = turn_.program,
                         .attempt = attempt_,
                         .used = used_tokens,
@@ -149,7 +149,7 @@
                                  .input = request_.message.body(),
                                  .output = output_,
                                  .place = std::move(place)},
-                        .keep = kept_for_};
+                        .keep = retention_};
   records::retained_turn copy = end.kept;
   granted_ = false; // settled by this, now or later
   const bool kept =
@@ -169,7 +169,7 @@
                             .attempt = attempt_,
                             .used = used_tokens,
                             .kept = {},
-                            .keep = kept_for_});
+                            .keep = retention_});
 }
 
 void program_turn::log_refusal() const {
--- a/src/forwarding/program_turn.hpp
+++ b/src/forwarding/program_turn.hpp
@@ -31,10 +31,10 @@
   /// A turn that was refused may ask again.
   asio::awaitable<records::turn_verdict> begin();
   /// When a turn gives up waiting for its grant.
-  [[nodiscard]] timestamp patience_ends() const { return patience_ends_; }
+  [[nodiscard]] timestamp wait_deadline() const { return wait_deadline_; }
   /// True when the last refusal is for reservations alone: turns under way, or
   /// tries whose end is not recorded yet, may still give back what they hold.
-  [[nodiscard]] bool budget_is_tied_up() const;
+  [[nodiscard]] bool budget_is_only_reserved() const;
 
   /// When a turn that the record group does not serve had better come back;
   /// zero where nothing is known.
@@ -55,8 +55,8 @@
   /// Records the end durably. @return false when that is not confirmed in time;
   /// it goes on being tried.
   /// @param place the engine that answered.
-  asio::awaitable<bool> keep(std::uint64_t used_tokens,
-                             records::turn_place place);
+  asio::awaitable<bool> record_end(std::uint64_t used_tokens,
+                                   records::turn_place place);
   /// Gives back what a granted turn that is not kept has left.
   void settle(std::uint64_t used_tokens);
 
@@ -64,22 +64,22 @@
   void log_refusal() const;
 
 private:
-  [[nodiscard]] records::turn_request wanted() const;
+  [[nodiscard]] records::turn_request make_request() const;
   /// Whether this process may hold copies of the program's turns.
   [[nodiscard]] bool may_cache() const;
-  void take_history(const std::vector<records::retained_turn> &turns);
+  void append_history(const std::vector<records::retained_turn> &turns);
 
   gateway &gateway_;
   const client_request &request_;
   const routing::route &route_;
   routing::residency home_;
   timestamp deadline_;
-  timestamp patience_ends_;
+  timestamp wait_deadline_;
   /// Its names carry the tenant's, as do those that the record group gets: what
   /// one tenant keeps does not exist for another.
   turn_header turn_;
   std::string attempt_;
-  duration_ms kept_for_;
+  duration_ms retention_;
   /// The turn that a retained one goes on from; empty for none.
   std::string previous_;
 
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Times are measured in whole milliseconds; none is taken for zero.
-constexpr double shortest_answer_ms = 0.5;
+constexpr double min_response_ms = 0.5;
 
 /// Loads are told by incarnation: what ran on an earlier start of a replica
 /// does not load the later one.
@@ -20,13 +20,13 @@
   return static_cast<std::uint32_t>(stable_hash(name_of(each.record.start())));
 }
 
-void note_sound(routing::instance &answered) {
+void clear_failures(routing::instance &answered) {
   answered.consecutive_failures = 0;
   answered.avoid_until = {};
 }
 
 /// What keeps a request from all replicas alike.
-class common_bar {
+class common_exclusion {
 public:
   /// One replica more, and what keeps the request from it.
   void add(routing::exclusion cause) {
@@ -50,13 +50,15 @@
 
 /// Turns of a program leave a drained zone together, so that its prompt is read
 /// again once. All else goes elsewhere at once: it has no conversation there.
-routing::traffic_place place_of(const client_request &request,
-                                const routing::zone_drains &drains,
-                                timestamp now) {
-  const bool leaves_prompt = !drains.all().empty() && !request.prompt.empty() &&
-                             !request.program.empty();
-  return {.draw = leaves_prompt ? std::optional(stable_hash(request.program))
-                                : std::nullopt,
+routing::traffic_place traffic_place_of(const client_request &request,
+                                        const routing::zone_drains &drains,
+                                        timestamp now) {
+  const bool follows_conversation = !drains.all().empty() &&
+                                    !request.prompt.empty() &&
+                                    !request.program.empty();
+  return {.draw = follows_conversation
+                      ? std::optional(stable_hash(request.program))
+                      : std::nullopt,
           .now = now};
 }
 
@@ -66,7 +68,7 @@
     std::shared_ptr<const routing::route_table> routes) {
   routes_ = std::move(routes);
   for (const routing::instance_record &each : directory_.records()) {
-    set_engine_memory(each.service);
+    update_prefix_capacity(each.service);
     set_admissions(each.service);
   }
 }
@@ -87,12 +89,13 @@
   }
 }
 
-void replica_selector::set_engine_memory(const routing::service_id &service) {
+void replica_selector::update_prefix_capacity(
+    const routing::service_id &service) {
   const routing::service *known =
       routes_ != nullptr ? routes_->find_service(service) : nullptr;
-  const bool told = known != nullptr && known->engine.has_value() &&
-                    known->engine->memory_tokens > 0;
-  if (!told) {
+  const bool has_capacity = known != nullptr && known->engine.has_value() &&
+                            known->engine->memory_tokens > 0;
+  if (!has_capacity) {
     return;
   }
   for (const routing::instance_ptr &each : directory_.of(service)) {
@@ -101,48 +104,48 @@
 }
 
 void replica_selector::put(routing::instance_record record) {
-  take_in(std::move(record), true);
+  apply_record(std::move(record), true);
 }
 
-void replica_selector::take_in(routing::instance_record record,
-                               bool written_again) {
-  const routing::instance_record told = record;
+void replica_selector::apply_record(routing::instance_record record,
+                                    bool written_again) {
+  const routing::instance_record entry = record;
   const routing::instance_ptr before = directory_.find(record.id);
   const routing::put_outcome outcome = directory_.put(std::move(record));
   switch (outcome) {
   case routing::put_outcome::unchanged:
     break;
   case routing::put_outcome::outdated:
-    if (rejected_.note(told.id.value(), "of an earlier start")) {
-      log_outdated(told);
+    if (rejected_.note(entry.id.value(), "of an earlier start")) {
+      log_outdated(entry);
     }
     return;
   case routing::put_outcome::without_start:
-    note_unlisted(before);
-    note_rejected(told.id, "tells no start although it did before", true);
+    on_instance_removed(before);
+    record_rejection(entry.id, "tells no start although it did before", true);
     return;
   case routing::put_outcome::started_again:
     if (before != nullptr) {
       finishing_.push_back(before);
-      on_started_again(*before, told);
+      on_started_again(*before, entry);
     }
     [[fallthrough]];
   case routing::put_outcome::added:
   case routing::put_outcome::changed:
-    set_engine_memory(told.service);
-    set_admissions(told.service);
+    update_prefix_capacity(entry.service);
+    set_admissions(entry.service);
     logging::line(logging::event::instances_changed)
-        .field("instance", told.id.value())
-        .field("service", told.service.value())
-        .field("born_ms", told.born_ms)
-        .field("state", told.draining ? "draining" : "ready")
+        .field("instance", entry.id.value())
+        .field("service", entry.service.value())
+        .field("born_ms", entry.born_ms)
+        .field("state", entry.draining ? "draining" : "ready")
         .write();
     written_again = true;
     break;
   }
-  rejected_.forget(told.id.value());
+  rejected_.forget(entry.id.value());
   if (written_again) {
-    follow_slow_start(*directory_.find(told.id));
+    update_slow_start(*directory_.find(entry.id));
   }
 }
 
@@ -153,9 +156,9 @@
   // for certain. Elsewhere it may still be finishing what it has.
   const bool same_address = before.record.address == now.address;
   if (same_address && ended.born_ms != 0) {
-    pool_.cut_off(ended);
+    pool_.close_all(ended);
   } else {
-    pool_.drop(ended);
+    pool_.close_idle(ended);
   }
   logging::line(logging::event::instance_started_again)
       .field("instance", now.id.value())
@@ -167,23 +170,23 @@
 }
 
 void replica_selector::log_outdated(
-    const routing::instance_record &told) const {
-  const routing::instance_ptr listed = directory_.find(told.id);
+    const routing::instance_record &entry) const {
+  const routing::instance_ptr listed = directory_.find(entry.id);
   logging::line(logging::event::instance_entry_outdated)
-      .field("instance", told.id.value())
-      .field("born_ms", told.born_ms)
+      .field("instance", entry.id.value())
+      .field("born_ms", entry.born_ms)
       .field("listed_born_ms", listed ? listed->record.born_ms : 0)
       .write();
 }
 
 void replica_selector::reject(const routing::instance_id &id,
                               const std::string &reason) {
-  note_rejected(id, reason, unlist(id));
+  record_rejection(id, reason, unlist(id));
 }
 
-void replica_selector::note_rejected(const routing::instance_id &id,
-                                     const std::string &reason,
-                                     bool was_listed) {
+void replica_selector::record_rejection(const routing::instance_id &id,
+                                        const std::string &reason,
+                                        bool was_listed) {
   if (rejected_.note(id.value(), reason)) {
     logging::line(logging::event::instance_entry_rejected)
         .field("instance", id.value())
@@ -196,23 +199,23 @@
 // An entry tells how long its replica stays cold from when it was written. How
 // long it was on its way is not known, so the time counts from now: it may look
 // cold for too long, never for too short.
-void replica_selector::follow_slow_start(routing::instance &told) {
-  if (told.record.cold_for <= duration_ms{0}) {
-    end_slow_start(told);
+void replica_selector::update_slow_start(routing::instance &entry) {
+  if (entry.record.cold_for <= duration_ms{0}) {
+    end_slow_start(entry);
     return;
   }
   const timestamp now = steady_now();
-  told.slow_start.begin(now + told.record.cold_for);
-  if (!told.slow_start.cold(now)) {
+  entry.slow_start.begin(now + entry.record.cold_for);
+  if (!entry.slow_start.cold(now)) {
     return;
   }
   logging::line(logging::event::replica_turned_cold)
-      .field("instance", told.record.id.value())
-      .field("service", told.record.service.value())
-      .field("born_ms", told.record.born_ms)
-      .field("for_ms", told.record.cold_for.count())
-      .field("admissions_per_second", told.slow_start.admissions())
-      .field("own", told.slow_start.own(share_, now))
+      .field("instance", entry.record.id.value())
+      .field("service", entry.record.service.value())
+      .field("born_ms", entry.record.born_ms)
+      .field("for_ms", entry.record.cold_for.count())
+      .field("admissions_per_second", entry.slow_start.admissions())
+      .field("own", entry.slow_start.own(share_, now))
       .write();
 }
 
@@ -240,9 +243,9 @@
   }
 }
 
-replica_selector::slow_start_figures replica_selector::slow_starts() const {
+replica_selector::slow_start_totals replica_selector::slow_starts() const {
   const timestamp now = steady_now();
-  slow_start_figures figures;
+  slow_start_totals figures;
   for (const auto &[id, each] : directory_.all()) {
     if (each->slow_start.cold(now)) {
       ++figures.cold;
@@ -263,13 +266,13 @@
     return false;
   }
   directory_.remove(id);
-  note_unlisted(known);
+  on_instance_removed(known);
   return true;
 }
 
-void replica_selector::note_unlisted(const routing::instance_ptr &gone) {
+void replica_selector::on_instance_removed(const routing::instance_ptr &gone) {
   finishing_.push_back(gone);
-  pool_.drop(gone->record.start());
+  pool_.close_idle(gone->record.start());
   logging::line(logging::event::instances_changed)
       .field("instance", gone->record.id.value())
       .field("state", "gone")
@@ -298,7 +301,7 @@
     reject(routing::instance_id{each.name}, each.reason);
   }
   for (routing::instance_record &record : records) {
-    take_in(std::move(record), false);
+    apply_record(std::move(record), false);
   }
 }
 
@@ -363,12 +366,12 @@
   }
   std::vector<routing::instance_ptr> fitting;
   std::vector<balance::candidate> candidates;
-  common_bar bar;
+  common_exclusion common;
   const bool first_attempt = step.only.empty() && step.excluded.empty();
-  const routing::traffic_place place = first_attempt
-                                           ? place_of(request, drains_, now)
-                                           : routing::traffic_place{};
-  timestamp free_at = timestamp::max();
+  const routing::traffic_place place =
+      first_attempt ? traffic_place_of(request, drains_, now)
+                    : routing::traffic_place{};
+  timestamp next_admission = timestamp::max();
   for (const routing::instance_ptr &each : directory_.of(service)) {
     const routing::incarnation start = each->record.start();
     const bool wanted = step.only.empty() || step.only.contains(start);
@@ -376,9 +379,9 @@
       continue;
     }
     const routing::exclusion cause = exclusion_of(*each, home, place, now);
-    bar.add(cause);
+    common.add(cause);
     if (cause == routing::exclusion::warming_up) {
-      free_at = std::min(free_at, next_send(*each, now));
+      next_admission = std::min(next_admission, next_send(*each, now));
     }
     if (cause != routing::exclusion::none || step.excluded.contains(start)) {
       continue;
@@ -394,7 +397,7 @@
           ? balance::choose_engine(candidates, random_(), engine_choice)
           : balance::choose_plain(candidates, random_(), options_.plain_choice);
   if (!chosen) {
-    return {.barred_by = bar.cause(), .free_at = free_at};
+    return {.excluded_by = common.cause(), .next_admission = next_admission};
   }
   return {.target = fitting[*chosen],
           .missing_tokens = candidates[*chosen].missing_tokens,
@@ -425,7 +428,7 @@
                              const routing::residency &home) {
   const timestamp now = steady_now();
   const routing::exclusion cause =
-      exclusion_of(target, home, place_of(request, drains_, now), now);
+      exclusion_of(target, home, traffic_place_of(request, drains_, now), now);
   if (cause == routing::exclusion::none) {
     target.slow_start.note_sent(now);
   }
@@ -446,7 +449,7 @@
   return running;
 }
 
-void replica_selector::learn_place(
+void replica_selector::learn_prefix_location(
     const records::turn_place &place, const routing::service_id &service,
     const std::vector<balance::prompt_part> &prompt) {
   if (!options_.policies.turn_places) {
@@ -478,7 +481,7 @@
   return loads;
 }
 
-void replica_selector::take_shared_loads(const wire::SharedLoads &shared) {
+void replica_selector::apply_shared_loads(const wire::SharedLoads &shared) {
   share_.take({.end = shared.arc_end(), .length = shared.arc_length()},
               timestamp_from(shared.told_ms()), steady_now());
   if (!options_.policies.shared_loads) {
@@ -516,17 +519,17 @@
                                    double elapsed_ms) {
   // Answers of one route differ by their content: the mean of some fifty.
   constexpr double weight = 0.02;
-  note_sound(answered);
-  const double taken = std::max(elapsed_ms, shortest_answer_ms);
-  double &usual = answer_ms_.try_emplace(route, taken).first->second;
-  answered.speed.note_time(taken, usual);
-  usual += weight * (taken - usual);
+  clear_failures(answered);
+  const double taken = std::max(elapsed_ms, min_response_ms);
+  double &mean = mean_response_ms_.try_emplace(route, taken).first->second;
+  answered.speed.note_time(taken, mean);
+  mean += weight * (taken - mean);
 }
 
 void replica_selector::on_turn_answered(routing::instance &answered,
                                         const balance::turn_observation &turn,
                                         bool from_start) {
-  note_sound(answered);
+  clear_failures(answered);
   balance::engine_cost_model &model = engine_models_[answered.record.service];
   if (turn.event_gap_ms > 0) {
     answered.speed.note_time(turn.event_gap_ms,
--- a/src/forwarding/replica_selector.hpp
+++ b/src/forwarding/replica_selector.hpp
@@ -56,9 +56,9 @@
   double running = 0;
   /// Without a target: what keeps the request from every replica that is up, so
   /// that waiting for one is in vain; `none` where one may become free.
-  routing::exclusion barred_by = routing::exclusion::none;
+  routing::exclusion excluded_by = routing::exclusion::none;
   /// Where all that fit are warming up: when one may be sent the request.
-  timestamp free_at{};
+  timestamp next_admission{};
 };
 
 class replica_selector {
@@ -112,22 +112,22 @@
   void end_slow_starts();
   /// Replicas that warm up, and admissions a second at them that are this
   /// gateway's.
-  struct slow_start_figures {
+  struct slow_start_totals {
     std::uint32_t cold = 0;
     std::uint32_t own_admissions = 0;
   };
-  [[nodiscard]] slow_start_figures slow_starts() const;
+  [[nodiscard]] slow_start_totals slow_starts() const;
 
   /// An engine of `service` keeps the beginning of a prompt, as the record of
   /// an earlier turn tells.
-  void learn_place(const records::turn_place &place,
-                   const routing::service_id &service,
-                   const std::vector<balance::prompt_part> &prompt);
+  void learn_prefix_location(const records::turn_place &place,
+                             const routing::service_id &service,
+                             const std::vector<balance::prompt_part> &prompt);
 
   /// This gateway's requests at engines, to be told to the others.
   [[nodiscard]] wire::ReplicaLoads engine_loads() const;
   /// What the other gateways have reported of theirs.
-  void take_shared_loads(const wire::SharedLoads &shared);
+  void apply_shared_loads(const wire::SharedLoads &shared);
 
   /// The replica could not be reached or broke off.
   void on_failed(routing::instance &failed, std::string_view reason);
@@ -152,12 +152,12 @@
   /// When this gateway may send something to a replica that warms up.
   [[nodiscard]] timestamp next_send(const routing::instance &cold,
                                     timestamp now) const;
-  void note_rejected(const routing::instance_id &id, const std::string &reason,
-                     bool was_listed);
+  void record_rejection(const routing::instance_id &id,
+                        const std::string &reason, bool was_listed);
   /// A replica has just been taken out of the directory.
-  void note_unlisted(const routing::instance_ptr &gone);
-  void take_in(routing::instance_record record, bool written_again);
-  void follow_slow_start(routing::instance &told);
+  void on_instance_removed(const routing::instance_ptr &gone);
+  void apply_record(routing::instance_record record, bool written_again);
+  void update_slow_start(routing::instance &entry);
   void end_slow_start(routing::instance &warm);
   void set_admissions(const routing::service_id &service);
   /// A replica as the policies see it.
@@ -168,11 +168,11 @@
   void add_engine_loads(std::vector<balance::candidate> &candidates,
                         const std::vector<routing::instance_ptr> &engines,
                         double turn_ms, timestamp now) const;
-  void set_engine_memory(const routing::service_id &service);
+  void update_prefix_capacity(const routing::service_id &service);
   /// Forgets what belongs to the earlier start.
   void on_started_again(const routing::instance &before,
                         const routing::instance_record &now);
-  void log_outdated(const routing::instance_record &told) const;
+  void log_outdated(const routing::instance_record &entry) const;
   /// @return false when it was not listed.
   bool unlist(const routing::instance_id &id);
 
@@ -188,7 +188,7 @@
   balance::admission_share share_;
   std::map<routing::service_id, balance::engine_cost_model> engine_models_;
   /// Smoothed time of an answer, by route, in milliseconds.
-  std::map<std::string, double> answer_ms_;
+  std::map<std::string, double> mean_response_ms_;
   std::mt19937_64 random_{draw_system_random()};
 };
 
--- a/src/forwarding/request_exchange.cpp
+++ b/src/forwarding/request_exchange.cpp
@@ -123,8 +123,8 @@
     service_ = *part;
   }
   body_ = request_.message.body();
-  if (co_await get_leave()) {
-    co_await drive();
+  if (co_await acquire_permissions()) {
+    co_await run_attempts();
   }
   if (turn_) {
     turn_->settle(used_tokens());
@@ -216,24 +216,24 @@
   co_return true;
 }
 
-asio::awaitable<bool> request_exchange::get_leave() {
+asio::awaitable<bool> request_exchange::acquire_permissions() {
   if (caller_.permit) {
     permit_.emplace(gateway_, request_, *caller_.permit, deadline_);
-    permit_->ask();
+    permit_->request();
   }
   // First turns are what is refused most: they ask for a grant only once they
   // have a permit. Later ones wait for both at a time.
-  const bool one_by_one = caller_.permit && caller_.permit->begins_program;
-  if (one_by_one && !co_await has_permit()) {
+  const bool permit_first = caller_.permit && caller_.permit->begins_program;
+  if (permit_first && !co_await await_permit()) {
     co_return false;
   }
   if (needs_grant() && !co_await begin_turn()) {
     co_return false;
   }
-  co_return co_await has_permit();
+  co_return co_await await_permit();
 }
 
-asio::awaitable<bool> request_exchange::has_permit() {
+asio::awaitable<bool> request_exchange::await_permit() {
   if (!permit_) {
     co_return true;
   }
@@ -286,7 +286,8 @@
   }
 }
 
-asio::awaitable<void> request_exchange::withdraw(refusal_cause cause) {
+asio::awaitable<void>
+request_exchange::refuse_before_send(refusal_cause cause) {
   if (plan_->may_have_run()) {
     co_await answer(status_bad_gateway, duration_ms{0},
                     "its key holds no longer, and it may have run");
@@ -314,28 +315,28 @@
 
 asio::awaitable<bool> request_exchange::begin_turn() {
   turn_.emplace(gateway_, request_, *route_, home_, caller_.tenant, deadline_);
-  if (!co_await record_stays_home()) {
+  if (!co_await check_storage_residency()) {
     co_return false;
   }
   records::turn_verdict verdict = co_await turn_->begin();
-  while (turn_->budget_is_tied_up() && !client_gone_ &&
-         steady_now() + budget_pause < turn_->patience_ends()) {
+  while (turn_->budget_is_only_reserved() && !client_gone_ &&
+         steady_now() + budget_pause < turn_->wait_deadline()) {
     pause_timer_.expires_after(budget_pause);
     co_await pause_timer_.async_wait(as_result);
     verdict = co_await turn_->begin();
   }
   if (verdict == records::turn_verdict::granted) {
     // The grant may have brought news of further storage nodes.
-    if (!co_await record_stays_home()) {
+    if (!co_await check_storage_residency()) {
       co_return false;
     }
     body_.insert(0, turn_->history());
-    gateway_.replicas().learn_place(turn_->previous_place(), service_,
-                                    request_.prompt);
+    gateway_.replicas().learn_prefix_location(turn_->previous_place(), service_,
+                                              request_.prompt);
     co_return true;
   }
   turn_->log_refusal();
-  if (turn_->budget_is_tied_up()) {
+  if (turn_->budget_is_only_reserved()) {
     co_await answer(status_unavailable, ledger_retry,
                     "budget held by turns under way");
   } else if (verdict == records::turn_verdict::budget_spent) {
@@ -354,10 +355,10 @@
   co_return false;
 }
 
-asio::awaitable<bool> request_exchange::record_stays_home() {
+asio::awaitable<bool> request_exchange::check_storage_residency() {
   const auto outside = turn_->storage_outside_home();
   if (outside) {
-    note_home_refusal("storage_outside_home", outside->node, outside->region);
+    record_home_refusal("storage_outside_home", outside->node, outside->region);
     co_await answer(status_unavailable, home_retry, record_outside_reason);
   }
   co_return !outside;
@@ -368,12 +369,12 @@
   const std::uint64_t tokens_per_event = target != nullptr && target->engine
                                              ? target->engine->tokens_per_event
                                              : 1;
-  return events_passed_ * tokens_per_event;
+  return events_forwarded_ * tokens_per_event;
 }
 
 // Attempts.
 
-asio::awaitable<void> request_exchange::drive() {
+asio::awaitable<void> request_exchange::run_attempts() {
   plan_.emplace(route_->repeatable(), route_->max_attempts, request_.arrived,
                 deadline_, gateway_.options().plan);
   while (status_ == 0) {
@@ -393,18 +394,18 @@
     } else {
       const auto &send = std::get<send_step>(step);
       placement_ = gateway_.replicas().choose(service_, send, request_, home_);
-      if (const auto cause = gateway_.objection(request_, *route_)) {
-        co_await withdraw(*cause);
+      if (const auto cause = gateway_.recheck_admission(request_, *route_)) {
+        co_await refuse_before_send(*cause);
       } else if (placement_.target) {
         co_await attempt(placement_.target);
-      } else if (placement_.barred_by == routing::exclusion::warming_up) {
+      } else if (placement_.excluded_by == routing::exclusion::warming_up) {
         gateway_.metrics().on_slow_start_wait();
-        plan_->on_warming_up(placement_.free_at);
-      } else if (placement_.barred_by == routing::exclusion::outside_home) {
-        note_home_refusal(name_of(placement_.barred_by), {}, {});
-        plan_->on_barred(name_of(placement_.barred_by), home_retry);
-      } else if (placement_.barred_by != routing::exclusion::none) {
-        plan_->on_barred(name_of(placement_.barred_by), zone_drain_retry);
+        plan_->on_warming_up(placement_.next_admission);
+      } else if (placement_.excluded_by == routing::exclusion::outside_home) {
+        record_home_refusal(name_of(placement_.excluded_by), {}, {});
+        plan_->on_blocked(name_of(placement_.excluded_by), home_retry);
+      } else if (placement_.excluded_by != routing::exclusion::none) {
+        plan_->on_blocked(name_of(placement_.excluded_by), zone_drain_retry);
       } else {
         forget_ended(send);
         plan_->on_no_candidate();
@@ -439,7 +440,7 @@
     co_return;
   }
   active_ = connection.value();
-  if (!co_await has_permit()) {
+  if (!co_await await_permit()) {
     gateway_.pool().release(started, active_, duration_ms{0});
     active_.reset();
     --target->in_flight;
@@ -448,9 +449,9 @@
   attempt_end end = attempt_outcome::not_sent;
   // While the connection was made, what was true at the choice may have
   // changed.
-  const auto objection = gateway_.objection(request_, *route_);
-  if (!objection && claim_send_to(*target)) {
-    const bool sends = !permit_ || permit_->use();
+  const auto refusal = gateway_.recheck_admission(request_, *route_);
+  if (!refusal && claim_send_to(*target)) {
+    const bool sends = !permit_ || permit_->consume();
     if (sends) {
       end = co_await exchange_with(*target, active_);
     }
@@ -460,14 +461,14 @@
   active_.reset();
   --target->in_flight;
   if (permit_ && end == attempt_outcome::not_executed) {
-    permit_->give_back();
+    permit_->return_unused();
   }
   if (end) {
     gateway_.metrics().on_attempt(std::string(name_of(*end)));
     log_attempt(*target, *end, last_failure_);
     plan_->on_attempt(started, *end);
-    const bool own_doing = client_gone_ || steady_now() >= deadline_;
-    if (*end == attempt_outcome::lost && !own_doing) {
+    const bool ended_by_gateway = client_gone_ || steady_now() >= deadline_;
+    if (*end == attempt_outcome::lost && !ended_by_gateway) {
       gateway_.replicas().on_failed(*target, last_failure_);
     }
   } else {
@@ -488,9 +489,9 @@
   return true;
 }
 
-void request_exchange::note_home_refusal(std::string_view cause,
-                                         std::string_view node,
-                                         std::string_view region) const {
+void request_exchange::record_home_refusal(std::string_view cause,
+                                           std::string_view node,
+                                           std::string_view region) const {
   gateway_.metrics().on_refused(std::string(cause));
   logging::line(logging::event::outside_home_refused)
       .field("id", request_.attempt_id)
@@ -533,11 +534,11 @@
   head_at_ = steady_now();
   if (is_stream) {
     target.prefixes.record(request_.prompt);
-    const bool from_start = events_passed_ == 0;
+    const bool from_start = events_forwarded_ == 0;
     relayed_ = {};
     const attempt_end end = co_await relay_stream(*connection, *parser);
     if (!end) {
-      note_turn(target, from_start);
+      record_turn_timing(target, from_start);
       recycle(target, std::move(connection), head, parser->keep_alive());
     }
     co_return end;
@@ -568,11 +569,12 @@
   }
   gateway_.replicas().on_answered(target, route_->name,
                                   milliseconds_since(sent_at_));
-  co_await pass_answer(head, std::move(body));
+  co_await forward_answer(head, std::move(body));
   co_return std::nullopt;
 }
 
-void request_exchange::note_turn(routing::instance &target, bool from_start) {
+void request_exchange::record_turn_timing(routing::instance &target,
+                                          bool from_start) {
   const auto events = static_cast<double>(relayed_.events);
   if (relayed_.events == 0) {
     return;
@@ -733,7 +735,7 @@
     const std::size_t filled = chunk.size() - parser.get().body().size;
     auto events = splitter.feed({chunk.data(), filled});
     relayed_.note(events.size(), steady_now());
-    if (!events.empty() && !co_await pass_on(std::move(events))) {
+    if (!events.empty() && !co_await forward_events(std::move(events))) {
       last_failure_ = "the client has gone";
       co_return attempt_outcome::lost;
     }
@@ -755,7 +757,7 @@
 }
 
 asio::awaitable<bool>
-request_exchange::pass_on(std::vector<stream_event> events) {
+request_exchange::forward_events(std::vector<stream_event> events) {
   std::string fresh;
   for (stream_event &event : events) {
     const bool repeated =
@@ -770,12 +772,12 @@
       turn_->add_output(event.data);
     }
     fresh += event.bytes;
-    ++events_passed_;
+    ++events_forwarded_;
   }
   if (fresh.empty()) {
     co_return true;
   }
-  const bool first = events_passed_ == events.size();
+  const bool first = events_forwarded_ == events.size();
   const auto [failure, written] = co_await asio::async_write(
       client_, beast_http::make_chunk(asio::buffer(fresh)), as_result);
   if (first) {
@@ -823,7 +825,7 @@
                 gateway_.options().headers.credential_scheme);
   }
   message.body() = std::string(reason) + "\n";
-  keep_open_ = keep_open_ && !gateway_.sends_clients_on();
+  keep_open_ = keep_open_ && !gateway_.should_close_connections();
   message.keep_alive(keep_open_);
   message.prepare_payload();
   const auto [failure, written] =
@@ -844,8 +846,8 @@
   }
 }
 
-asio::awaitable<void> request_exchange::pass_answer(const response_head &head,
-                                                    std::string body) {
+asio::awaitable<void>
+request_exchange::forward_answer(const response_head &head, std::string body) {
   status_ = head.result_int();
   reason_ = answered_reason;
   if (client_gone_) {
@@ -853,7 +855,7 @@
   }
   beast_http::response<beast_http::string_body> message;
   copy_head(head, message);
-  keep_open_ = keep_open_ && !gateway_.sends_clients_on();
+  keep_open_ = keep_open_ && !gateway_.should_close_connections();
   message.keep_alive(keep_open_);
   message.body() = std::move(body);
   message.prepare_payload();
@@ -867,7 +869,7 @@
   head_sent_ = true;
   beast_http::response<beast_http::empty_body> message;
   copy_head(head, message);
-  keep_open_ = keep_open_ && !gateway_.sends_clients_on();
+  keep_open_ = keep_open_ && !gateway_.should_close_connections();
   message.keep_alive(keep_open_);
   message.chunked(true);
   beast_http::response_serializer<beast_http::empty_body> serializer(message);
@@ -877,7 +879,7 @@
   co_return !failure;
 }
 
-records::turn_place request_exchange::place_of_memory() const {
+records::turn_place request_exchange::engine_location() const {
   std::uint64_t tokens = used_tokens();
   for (const balance::prompt_part &part : request_.prompt) {
     tokens += part.tokens;
@@ -889,11 +891,11 @@
   const bool keeps = route_->retained && turn_ && turn_->granted();
   const auto outside = keeps ? turn_->storage_outside_home() : std::nullopt;
   if (outside) {
-    note_home_refusal("storage_outside_home", outside->node, outside->region);
+    record_home_refusal("storage_outside_home", outside->node, outside->region);
     reason_ = record_outside_reason;
     co_return false;
   }
-  if (keeps && !co_await turn_->keep(used_tokens(), place_of_memory())) {
+  if (keeps && !co_await turn_->record_end(used_tokens(), engine_location())) {
     reason_ = "the turn could not be recorded in time";
     co_return false;
   }
@@ -947,7 +949,7 @@
           to_view(request_.message[gateway_.options().headers.last_event_id]))
       .field("previous", request_.previous_turn)
       .field("status", status_)
-      .field("events", events_passed_)
+      .field("events", events_forwarded_)
       .field("missing_tokens", placement_.missing_tokens)
       .field("running", placement_.running)
       .field("reason", reason_)
--- a/src/forwarding/request_exchange.hpp
+++ b/src/forwarding/request_exchange.hpp
@@ -68,12 +68,12 @@
   asio::awaitable<void> refuse(const refused &refusal);
   /// @return true when its tenant's quota lets the request run; else it has its
   /// answer.
-  asio::awaitable<bool> has_permit();
+  asio::awaitable<bool> await_permit();
   asio::awaitable<void> refuse_for_quota();
   /// Leave to begin: the permit and, for a turn, its grant.
-  asio::awaitable<bool> get_leave();
+  asio::awaitable<bool> acquire_permissions();
   /// Ends a request that may not be sent any more.
-  asio::awaitable<void> withdraw(refusal_cause cause);
+  asio::awaitable<void> refuse_before_send(refusal_cause cause);
   /// True for fields of the client that no replica may see.
   [[nodiscard]] bool is_private(boost::beast::string_view name) const;
 
@@ -83,11 +83,11 @@
   asio::awaitable<bool> begin_turn();
   /// @return false when what is to be kept of it would leave its home regions:
   /// then it has its answer.
-  asio::awaitable<bool> record_stays_home();
+  asio::awaitable<bool> check_storage_residency();
   [[nodiscard]] std::uint64_t used_tokens() const;
 
   // Attempts.
-  asio::awaitable<void> drive();
+  asio::awaitable<void> run_attempts();
   asio::awaitable<void> attempt(routing::instance_ptr target);
   /// Asked in the instant before the request is sent to a replica. True only
   /// where it is sent then.
@@ -95,8 +95,8 @@
   /// Tells the log and the metrics that its home regions keep it from being
   /// served.
   /// @param region the one outside; empty when there are several.
-  void note_home_refusal(std::string_view cause, std::string_view node,
-                         std::string_view region) const;
+  void record_home_refusal(std::string_view cause, std::string_view node,
+                           std::string_view region) const;
   asio::awaitable<attempt_end> exchange_with(routing::instance &target,
                                              connection_ptr connection);
   asio::awaitable<bool> send(const routing::instance &target,
@@ -105,7 +105,7 @@
   asio::awaitable<bool> read_own_head(upstream_connection &connection,
                                       std::optional<response_parser> &parser);
   /// Learns from a stream that the engine has ended whole.
-  void note_turn(routing::instance &target, bool from_start);
+  void record_turn_timing(routing::instance &target, bool from_start);
   /// The rank at an engine: 0 is the most urgent, 9 the least.
   [[nodiscard]] std::uint32_t engine_priority() const;
   [[nodiscard]] bool is_own(const response_head &head) const;
@@ -113,7 +113,7 @@
                                   response_parser &parser, std::string &body);
   asio::awaitable<attempt_end> relay_stream(upstream_connection &connection,
                                             response_parser &parser);
-  asio::awaitable<bool> pass_on(std::vector<stream_event> events);
+  asio::awaitable<bool> forward_events(std::vector<stream_event> events);
   void recycle(const routing::instance &target, connection_ptr connection,
                const response_head &head, bool keep_alive);
   void forget_ended(const send_step &step);
@@ -121,12 +121,12 @@
   // Answers.
   asio::awaitable<void> answer(std::uint32_t status, duration_ms retry_after,
                                std::string_view reason);
-  asio::awaitable<void> pass_answer(const response_head &head,
-                                    std::string body);
+  asio::awaitable<void> forward_answer(const response_head &head,
+                                       std::string body);
   asio::awaitable<bool> start_stream(const response_head &head);
   asio::awaitable<bool> finish_stream();
   /// The engine that answered, and what of the conversation it keeps.
-  [[nodiscard]] records::turn_place place_of_memory() const;
+  [[nodiscard]] records::turn_place engine_location() const;
   template <typename Message>
   void copy_head(const response_head &head, Message &message) const;
   void log_end() const;
@@ -163,7 +163,7 @@
   bool keep_open_ = true;
   bool head_sent_ = false;
   std::optional<std::uint64_t> last_event_id_;
-  std::uint64_t events_passed_ = 0;
+  std::uint64_t events_forwarded_ = 0;
   std::uint32_t status_ = 0;
   std::string_view reason_;
   routing::incarnation last_start_;
--- a/src/forwarding/send_permit.cpp
+++ b/src/forwarding/send_permit.cpp
@@ -13,7 +13,7 @@
 
 /// Share of the time left that a request waits for its permit: whoever is
 /// refused then can still ask another gateway.
-constexpr double permit_patience = 0.4;
+constexpr double permit_wait_fraction = 0.4;
 
 } // namespace
 
@@ -22,24 +22,25 @@
     : gateway_(shared), request_(request), wanted_(std::move(wanted)),
       deadline_(deadline) {}
 
-timestamp send_permit::patience_ends() const {
+timestamp send_permit::wait_deadline() const {
   const timestamp now = steady_now();
-  return now + std::chrono::duration_cast<duration_ms>(
-                   permit_patience * std::max(deadline_ - now, duration_ms{0}));
+  return now +
+         std::chrono::duration_cast<duration_ms>(
+             permit_wait_fraction * std::max(deadline_ - now, duration_ms{0}));
 }
 
-void send_permit::ask() {
-  const bool is_asking = question_ && !question_->answer;
-  if (is_asking || is_good()) {
+void send_permit::request() {
+  const bool in_progress = pending_ && !pending_->answer;
+  if (in_progress || is_valid()) {
     return;
   }
   used_ = false;
-  question_ = std::make_shared<question>(gateway_.io());
-  const timestamp until = patience_ends();
-  question_->answered.expires_at(until);
+  pending_ = std::make_shared<pending_request>(gateway_.io());
+  const timestamp until = wait_deadline();
+  pending_->answered.expires_at(until);
   asio::co_spawn(
       gateway_.io(),
-      [asked = question_, &ledger = gateway_.ledger(), wanted = wanted_,
+      [asked = pending_, &ledger = gateway_.ledger(), wanted = wanted_,
        until]() -> asio::awaitable<void> {
         asked->answer = co_await ledger.take_permit(wanted, until);
         asked->answered.cancel();
@@ -48,42 +49,42 @@
 }
 
 asio::awaitable<bool> send_permit::wait() {
-  constexpr int most_questions = 3;
-  for (int asked = 0; asked < most_questions && !is_good(); ++asked) {
+  constexpr int max_requests = 3;
+  for (int asked = 0; asked < max_requests && !is_valid(); ++asked) {
     const bool refused =
-        question_ && question_->answer &&
-        question_->answer->verdict != records::permit_verdict::granted;
+        pending_ && pending_->answer &&
+        pending_->answer->verdict != records::permit_verdict::granted;
     if (refused) {
       co_return false;
     }
-    if (question_ && question_->answer && !used_) {
+    if (pending_ && pending_->answer && !used_) {
       gateway_.metrics().on_void_permit();
     }
-    ask();
-    const std::shared_ptr<question> waited = question_;
+    request();
+    const std::shared_ptr<pending_request> waited = pending_;
     while (!waited->answer && steady_now() < waited->answered.expiry()) {
       co_await waited->answered.async_wait(as_result);
     }
     if (!waited->answer) {
       waited->answer = records::permit_answer{};
     }
-    gateway_.note_permit(request_, wanted_, *waited->answer);
+    gateway_.record_permit(request_, wanted_, *waited->answer);
     // What follows the first permit goes on with the program.
     wanted_.begins_program = false;
   }
-  co_return is_good();
+  co_return is_valid();
 }
 
-bool send_permit::is_good() const {
-  return question_ && question_->answer && !used_ &&
-         question_->answer->verdict == records::permit_verdict::granted &&
-         steady_now() < question_->answer->good_until;
+bool send_permit::is_valid() const {
+  return pending_ && pending_->answer && !used_ &&
+         pending_->answer->verdict == records::permit_verdict::granted &&
+         steady_now() < pending_->answer->good_until;
 }
 
 refused send_permit::refusal() const {
   const records::permit_answer none;
   const records::permit_answer &last =
-      question_ && question_->answer ? *question_->answer : none;
+      pending_ && pending_->answer ? *pending_->answer : none;
   switch (last.verdict) {
   case records::permit_verdict::used_up:
     return {.cause = refusal_cause::over_quota,
@@ -99,8 +100,8 @@
           .retry_after = last.retry_after};
 }
 
-bool send_permit::use() {
-  if (!is_good()) {
+bool send_permit::consume() {
+  if (!is_valid()) {
     return false;
   }
   used_ = true;
--- a/src/forwarding/send_permit.hpp
+++ b/src/forwarding/send_permit.hpp
@@ -23,7 +23,7 @@
               records::permit_request wanted, timestamp deadline);
 
   /// Begins to ask for a permit, unless one is good or asked for.
-  void ask();
+  void request();
   /// Waits until there is a good one, asking where that is needed.
   /// @return false when it was refused: see `refusal`.
   asio::awaitable<bool> wait();
@@ -31,29 +31,29 @@
   [[nodiscard]] refused refusal() const;
   /// Uses the permit up, in the instant before sending.
   /// @return false when it is void by now.
-  [[nodiscard]] bool use();
+  [[nodiscard]] bool consume();
   /// The replica has not run what was sent with it.
-  void give_back() { used_ = false; }
+  void return_unused() { used_ = false; }
 
 private:
   /// What has become of a question, shared with who asks it.
-  struct question {
-    explicit question(asio::io_context &io) : answered(io) {}
+  struct pending_request {
+    explicit pending_request(asio::io_context &io) : answered(io) {}
 
     std::optional<records::permit_answer> answer;
     /// Cancelled when the answer is there.
     asio::steady_timer answered;
   };
 
-  [[nodiscard]] bool is_good() const;
+  [[nodiscard]] bool is_valid() const;
   /// When it gives up waiting.
-  [[nodiscard]] timestamp patience_ends() const;
+  [[nodiscard]] timestamp wait_deadline() const;
 
   gateway &gateway_;
   const client_request &request_;
   records::permit_request wanted_;
   timestamp deadline_;
-  std::shared_ptr<question> question_; // null before the first
+  std::shared_ptr<pending_request> pending_; // null before the first
   bool used_ = false;
 };
 
--- a/src/forwarding/socket_options.cpp
+++ b/src/forwarding/socket_options.cpp
@@ -47,7 +47,7 @@
   return peek(socket) == peek_result::closed;
 }
 
-bool is_quiet(boost::asio::ip::tcp::socket &socket) {
+bool is_open_and_idle(boost::asio::ip::tcp::socket &socket) {
   return peek(socket) == peek_result::nothing;
 }
 
--- a/src/forwarding/socket_options.hpp
+++ b/src/forwarding/socket_options.hpp
@@ -25,6 +25,6 @@
 bool peer_has_closed(boost::asio::ip::tcp::socket &socket);
 
 /// True when nothing waits to be read and the peer has not closed.
-bool is_quiet(boost::asio::ip::tcp::socket &socket);
+bool is_open_and_idle(boost::asio::ip::tcp::socket &socket);
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/tenant_gate.cpp
+++ b/src/forwarding/tenant_gate.cpp
@@ -46,19 +46,19 @@
   if (tenant == nullptr) {
     return admitted{};
   }
-  admitted let_in{.tenant = tenant->id,
+  admitted result{.tenant = tenant->id,
                   .priority = tenant->priority,
                   .home_regions = tenant->home_regions,
                   .permit = std::nullopt};
   if (tenant->quota.limited()) {
-    let_in.permit = {.tenant = tenant->id,
+    result.permit = {.tenant = tenant->id,
                      .terms = terms_of(tenant->quota, routes),
                      .begins_program = begins_program(request)};
   }
-  return let_in;
+  return result;
 }
 
-void tenant_gate::note_begun(const client_request &request) {
+void tenant_gate::record_program_start(const client_request &request) {
   if (!request.program.empty()) {
     programs_.insert(request.program);
   }
@@ -79,7 +79,7 @@
           .slack = static_cast<std::uint32_t>(std::floor(counting_.slack))};
 }
 
-std::optional<refusal_cause> tenant_gate::objection(
+std::optional<refusal_cause> tenant_gate::recheck_admission(
     const client_request &request, const routing::route &route,
     const routing::route_table &routes, timestamp now) const {
   if (!needs_key(route, routes)) {
--- a/src/forwarding/tenant_gate.hpp
+++ b/src/forwarding/tenant_gate.hpp
@@ -82,21 +82,21 @@
                                 timestamp now) const;
   /// The program of a request has got its first permit: what it asks for later
   /// goes on with it.
-  void note_begun(const client_request &request);
+  void record_program_start(const client_request &request);
 
   /// Decides whether a request that was admitted may still be sent, by the
   /// routes that are in force now: while it waited its key may have been taken
   /// away, or this gateway cut off.
   /// @return the cause against it, if any.
   [[nodiscard]] std::optional<refusal_cause>
-  objection(const client_request &request, const routing::route &route,
-            const routing::route_table &routes, timestamp now) const;
+  recheck_admission(const client_request &request, const routing::route &route,
+                    const routing::route_table &routes, timestamp now) const;
 
   /// The configuration was current at `moment`.
   void confirm(timestamp moment) { freshness_.confirm(moment); }
   /// False while requests with keys cannot be served.
-  [[nodiscard]] bool keys_hold(const routing::route_table &routes,
-                               timestamp now) const {
+  [[nodiscard]] bool keys_are_fresh(const routing::route_table &routes,
+                                    timestamp now) const {
     return routes.keys().empty() || freshness_.holds(now);
   }
   [[nodiscard]] const tenants::freshness &freshness() const {
--- a/src/forwarding/upstream_pool.cpp
+++ b/src/forwarding/upstream_pool.cpp
@@ -19,7 +19,7 @@
     found->second.pop_back();
     // Bytes that wait here belong to no request: such a connection is spent.
     const bool usable =
-        now < candidate->usable_until && is_quiet(candidate->socket);
+        now < candidate->usable_until && is_open_and_idle(candidate->socket);
     if (usable) {
       candidate->reused = true;
       return candidate;
@@ -76,8 +76,8 @@
   return connection;
 }
 
-void upstream_pool::cut_off(const routing::incarnation &start) {
-  drop(start);
+void upstream_pool::close_all(const routing::incarnation &start) {
+  close_idle(start);
   const auto found = in_use_.find(start);
   if (found == in_use_.end()) {
     return;
--- a/src/forwarding/upstream_pool.hpp
+++ b/src/forwarding/upstream_pool.hpp
@@ -66,11 +66,11 @@
                duration_ms keep_alive);
 
   /// Closes the idle connections to an instance that has gone.
-  void drop(const routing::incarnation &start) { idle_.erase(start); }
+  void close_idle(const routing::incarnation &start) { idle_.erase(start); }
   /// Closes all connections to an instance whose process has ended for certain:
   /// requests on them learn at once what they would else learn only when the
   /// liveness check or their deadline tells.
-  void cut_off(const routing::incarnation &start);
+  void close_all(const routing::incarnation &start);
 
   /// Closes idle connections whose time is up.
   void close_expired(timestamp now);
--- a/tests/forwarding/home_regions_test.cpp
+++ b/tests/forwarding/home_regions_test.cpp
@@ -72,7 +72,7 @@
             {.zone = zone, .zones = {"a1=a", "a2=a", "b1=b"}})
             .value();
     options.headers = test_names();
-    options.plan.patience = 0.1;
+    options.plan.wait_fraction = 0.1;
     gateway_ = std::make_unique<gateway>(io_, options, ledger_);
     clients_ = std::make_unique<tcp::acceptor>(
         std::move(http::listen(io_, "127.0.0.1:0")).value());
--- a/tests/forwarding/peer_contacts_test.cpp
+++ b/tests/forwarding/peer_contacts_test.cpp
@@ -47,7 +47,7 @@
 
   peer_opinion ask(const std::vector<std::string> &addresses) {
     peer_contacts contacts(io_, addresses);
-    return await_result(io_, contacts.ask());
+    return await_result(io_, contacts.poll());
   }
 
 public:
--- a/tests/forwarding/request_exchange_test.cpp
+++ b/tests/forwarding/request_exchange_test.cpp
@@ -34,65 +34,66 @@
   CPPUNIT_TEST(an_answer_is_passed_on_unchanged);
   CPPUNIT_TEST(fields_of_the_gateway_cannot_be_forged);
   CPPUNIT_TEST(an_answer_to_another_request_is_skipped);
-  CPPUNIT_TEST(a_success_without_signature_is_none);
+  CPPUNIT_TEST(a_success_without_signature_is_rejected);
   CPPUNIT_TEST(a_call_that_broke_off_is_not_sent_again);
   CPPUNIT_TEST(an_idempotent_request_is_sent_again);
   CPPUNIT_TEST(an_unframed_answer_ends_with_its_connection);
   CPPUNIT_TEST(an_unframed_answer_that_is_reset_is_not_whole);
   CPPUNIT_TEST(a_refused_request_goes_to_another_replica);
-  CPPUNIT_TEST(refused_by_all_it_is_told_when_to_come_back);
+  CPPUNIT_TEST(refusal_by_all_replicas_sets_retry_after);
   CPPUNIT_TEST(a_draining_replica_gets_nothing);
-  CPPUNIT_TEST(a_stream_goes_on_behind_its_last_whole_event);
+  CPPUNIT_TEST(a_stream_resumes_after_its_last_whole_event);
   CPPUNIT_TEST(a_stream_that_must_not_repeat_does_not_look_complete);
-  CPPUNIT_TEST(a_turn_is_kept_before_its_answer_ends);
+  CPPUNIT_TEST(a_turn_is_recorded_before_its_answer_ends);
   CPPUNIT_TEST(a_turn_that_cannot_be_recorded_does_not_look_complete);
-  CPPUNIT_TEST(a_turn_goes_on_where_its_conversation_is_kept);
-  CPPUNIT_TEST(the_record_of_a_turn_tells_where_it_was_answered);
-  CPPUNIT_TEST(a_place_that_is_gone_or_switched_off_binds_nothing);
-  CPPUNIT_TEST(a_place_on_an_earlier_start_binds_nothing);
-  CPPUNIT_TEST(loads_are_told_by_start);
-  CPPUNIT_TEST(a_call_on_an_ended_start_is_not_sent_to_the_new_one);
-  CPPUNIT_TEST(a_repeatable_request_on_an_ended_start_goes_to_the_new_one);
-  CPPUNIT_TEST(an_idle_connection_to_an_ended_start_is_not_used_again);
+  CPPUNIT_TEST(a_turn_goes_to_the_engine_that_caches_its_conversation);
+  CPPUNIT_TEST(the_record_of_a_turn_names_its_engine);
+  CPPUNIT_TEST(a_missing_or_disabled_location_is_ignored);
+  CPPUNIT_TEST(a_location_on_an_earlier_incarnation_is_ignored);
+  CPPUNIT_TEST(loads_are_reported_by_incarnation);
+  CPPUNIT_TEST(a_call_on_an_ended_incarnation_is_not_resent_to_the_new_one);
+  CPPUNIT_TEST(
+      a_repeatable_request_on_an_ended_incarnation_goes_to_the_new_one);
+  CPPUNIT_TEST(an_idle_connection_to_an_ended_incarnation_is_not_reused);
   CPPUNIT_TEST(a_rejected_entry_takes_its_replica_out_of_use);
-  CPPUNIT_TEST(a_rejected_entry_is_counted_until_it_is_sound);
-  CPPUNIT_TEST(a_busy_engine_is_left_to_others);
+  CPPUNIT_TEST(a_rejected_entry_is_counted_until_it_is_valid);
+  CPPUNIT_TEST(an_engine_that_peers_report_busy_is_avoided);
   CPPUNIT_TEST(a_gateway_that_is_cut_off_sends_turns_elsewhere);
   CPPUNIT_TEST(urgent_routes_go_first_and_late_programs_last);
-  CPPUNIT_TEST(a_spent_budget_runs_nothing);
+  CPPUNIT_TEST(a_request_with_a_spent_budget_is_not_sent);
   CPPUNIT_TEST(a_budget_that_is_only_reserved_is_waited_for);
   CPPUNIT_TEST(a_budget_that_stays_reserved_is_not_called_spent);
   CPPUNIT_TEST(a_gateway_that_leaves_refuses_new_requests);
-  CPPUNIT_TEST(without_routes_nothing_is_denied);
+  CPPUNIT_TEST(without_routes_the_answer_is_503_not_404);
   CPPUNIT_TEST(a_replica_gets_the_tenant_and_not_the_key);
   CPPUNIT_TEST(a_forged_tenant_is_replaced_on_every_attempt);
   CPPUNIT_TEST(a_missing_or_unknown_key_is_unauthorized);
   CPPUNIT_TEST(an_open_route_needs_no_key);
   CPPUNIT_TEST(without_tenants_nobody_needs_a_key);
   CPPUNIT_TEST(an_unconfirmed_configuration_admits_nobody);
-  CPPUNIT_TEST(a_key_taken_away_while_the_request_waits_runs_nothing);
-  CPPUNIT_TEST(a_key_taken_away_while_a_connection_is_made_runs_nothing);
-  CPPUNIT_TEST(a_zone_drained_while_a_connection_is_made_gets_nothing);
+  CPPUNIT_TEST(a_key_revoked_while_the_request_waits_prevents_sending);
+  CPPUNIT_TEST(a_key_revoked_while_connecting_prevents_sending);
+  CPPUNIT_TEST(a_zone_drained_while_connecting_gets_nothing);
   CPPUNIT_TEST(a_request_that_no_replica_may_serve_is_refused_at_once);
-  CPPUNIT_TEST(others_do_not_count_where_one_replica_alone_may_serve);
+  CPPUNIT_TEST(the_common_exclusion_covers_only_allowed_replicas);
   CPPUNIT_TEST(requests_at_a_replica_that_left_count_for_its_zone);
   CPPUNIT_TEST(a_gateway_that_does_not_know_the_drains_sends_nothing);
-  CPPUNIT_TEST(a_stream_that_breaks_off_does_not_go_on_in_a_drained_zone);
+  CPPUNIT_TEST(a_broken_stream_does_not_resume_in_a_drained_zone);
   CPPUNIT_TEST(a_cold_replica_gets_nothing_without_an_admission);
   CPPUNIT_TEST(with_cold_replicas_only_a_request_is_refused_at_once);
-  CPPUNIT_TEST(a_replica_that_turns_cold_while_a_connection_is_made);
-  CPPUNIT_TEST(without_limits_a_cold_replica_is_one_like_others);
+  CPPUNIT_TEST(a_replica_that_turns_cold_while_connecting_gets_nothing);
+  CPPUNIT_TEST(without_limits_a_cold_replica_is_treated_as_warm);
   CPPUNIT_TEST(
-      a_gateway_that_loses_its_proof_while_a_request_waits_runs_nothing);
-  CPPUNIT_TEST(what_one_tenant_keeps_does_not_exist_for_another);
-  CPPUNIT_TEST(a_tenant_over_its_quota_is_told_when_to_come_back);
+      a_configuration_that_expires_while_a_request_waits_prevents_sending);
+  CPPUNIT_TEST(turns_of_one_tenant_are_invisible_to_another);
+  CPPUNIT_TEST(a_tenant_over_its_quota_gets_retry_after);
   CPPUNIT_TEST(each_attempt_counts_against_the_quota);
-  CPPUNIT_TEST(a_tenant_without_quota_asks_for_no_permit);
-  CPPUNIT_TEST(a_quota_that_nobody_answers_for_runs_nothing);
-  CPPUNIT_TEST(a_void_permit_is_asked_for_again);
-  CPPUNIT_TEST(an_attempt_that_was_turned_down_keeps_its_permit);
+  CPPUNIT_TEST(a_tenant_without_quota_needs_no_permit);
+  CPPUNIT_TEST(a_request_without_an_available_permit_is_refused);
+  CPPUNIT_TEST(an_expired_permit_is_requested_again);
+  CPPUNIT_TEST(a_refused_attempt_keeps_its_permit);
   CPPUNIT_TEST(without_a_second_permit_there_is_no_second_attempt);
-  CPPUNIT_TEST(the_priority_of_a_tenant_goes_first);
+  CPPUNIT_TEST(the_tenant_priority_overrides_the_route_priority);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr balance::slow_start_limits slow_start_limits{
@@ -136,7 +137,7 @@
     options.selection.places = routing::topology("z");
     options.selection.slow_start = limits;
     options.headers = test_names();
-    options.plan.patience = 0.02;
+    options.plan.wait_fraction = 0.02;
     serve_with(options);
     apply_routes();
   }
@@ -156,7 +157,7 @@
   }
 
   /// The replica's process ends and another one starts under its id.
-  void start_again(const std::string &id, std::uint64_t born_ms) {
+  void restart_replica(const std::string &id, std::uint64_t born_ms) {
     routing::instance_record record = listed(id)->record;
     record.born_ms = born_ms;
     gateway_->replicas().put(record);
@@ -247,7 +248,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("own"), ask("/call/x")->body());
   }
 
-  void a_success_without_signature_is_none() {
+  void a_success_without_signature_is_rejected() {
     replicas_[0]->script.push_back(
         {"HTTP/1.1 200 OK\r\nAttempt: {id}\r\nContent-Length: 2\r\n\r\nno"});
     CPPUNIT_ASSERT_EQUAL(502U, ask("/call/x")->result_int());
@@ -302,7 +303,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, answer->result_int());
   }
 
-  void refused_by_all_it_is_told_when_to_come_back() {
+  void refusal_by_all_replicas_sets_retry_after() {
     for (int time = 0; time < 100; ++time) {
       replicas_[0]->script.push_back({refusal});
     }
@@ -320,7 +321,7 @@
     CPPUNIT_ASSERT(replicas_[1]->received.empty());
   }
 
-  void a_stream_goes_on_behind_its_last_whole_event() {
+  void a_stream_resumes_after_its_last_whole_event() {
     replicas_[0]->script.push_back({.bytes = stream_head + chunk(event(1)) +
                                              chunk(event(2)) +
                                              chunk("id: 3\nda"),
@@ -343,7 +344,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[0]->received.size());
   }
 
-  void a_turn_is_kept_before_its_answer_ends() {
+  void a_turn_is_recorded_before_its_answer_ends() {
     replicas_[0]->script.push_back(
         {stream_head + chunk(event(1)) + chunk(event(2)) + stream_end});
     const auto answer = ask(
@@ -386,7 +387,7 @@
     }
   }
 
-  void a_turn_goes_on_where_its_conversation_is_kept() {
+  void a_turn_goes_to_the_engine_that_caches_its_conversation() {
     // This gateway has never seen the conversation.
     add_replica("r2");
     add_replica("r3");
@@ -396,7 +397,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[1]->received.size());
   }
 
-  void the_record_of_a_turn_tells_where_it_was_answered() {
+  void the_record_of_a_turn_names_its_engine() {
     script_turns(1);
     ask_turns(1);
     const records::turn_place &place = ledger_.ends.at(0).kept.place;
@@ -405,14 +406,14 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5005}, place.tokens);
   }
 
-  void a_place_that_is_gone_or_switched_off_binds_nothing() {
+  void a_missing_or_disabled_location_is_ignored() {
     script_turns(2);
     ledger_.previous_place = {.instance = "gone", .tokens = 4500};
     ask_turns(1);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[0]->received.size());
     const balance::prompt_part part{.id = 0xa, .tokens = 2000};
-    gateway_->replicas().learn_place({.instance = "r1", .tokens = 100},
-                                     routing::service_id{"s"}, {part});
+    gateway_->replicas().learn_prefix_location(
+        {.instance = "r1", .tokens = 100}, routing::service_id{"s"}, {part});
     const auto &known =
         gateway_->replicas().directory().of(routing::service_id{"s"});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
@@ -421,8 +422,8 @@
     options.selection.policies.turn_places = false;
     gateway without(io_, options, ledger_);
     without.replicas().put(known.at(0)->record);
-    without.replicas().learn_place({.instance = "r1", .tokens = 2000},
-                                   routing::service_id{"s"}, {part});
+    without.replicas().learn_prefix_location({.instance = "r1", .tokens = 2000},
+                                             routing::service_id{"s"}, {part});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000},
                          without.replicas()
                              .directory()
@@ -431,12 +432,13 @@
                              ->prefixes.missing_tokens({part}));
   }
 
-  void a_place_on_an_earlier_start_binds_nothing() {
+  void a_location_on_an_earlier_incarnation_is_ignored() {
     const balance::prompt_part part{.id = 0xa, .tokens = 2000};
     const auto missing_after = [&](const std::string &place) {
-      start_again("r1", ++born_ms_);
-      gateway_->replicas().learn_place({.instance = place, .tokens = 2000},
-                                       routing::service_id{"s"}, {part});
+      restart_replica("r1", ++born_ms_);
+      gateway_->replicas().learn_prefix_location(
+          {.instance = place, .tokens = 2000}, routing::service_id{"s"},
+          {part});
       return listed("r1")->prefixes.missing_tokens({part});
     };
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, missing_after("r1@100"));
@@ -449,22 +451,22 @@
                          ledger_.ends.at(0).kept.place.instance);
   }
 
-  void loads_are_told_by_start() {
-    start_again("r1", 100);
+  void loads_are_reported_by_incarnation() {
+    restart_replica("r1", 100);
     script_turns(1);
     ask_turns(1); // now it is known for an engine
     listed("r1")->in_flight = 3;
     wire::SharedLoads shared;
     *shared.mutable_others() = gateway_->replicas().engine_loads();
-    gateway_->replicas().take_shared_loads(shared);
+    gateway_->replicas().apply_shared_loads(shared);
     CPPUNIT_ASSERT_EQUAL(3.0, listed("r1")->others.running);
-    start_again("r1", 200);
-    gateway_->replicas().take_shared_loads(shared);
+    restart_replica("r1", 200);
+    gateway_->replicas().apply_shared_loads(shared);
     CPPUNIT_ASSERT_EQUAL(0.0, listed("r1")->others.running);
   }
 
   /// Lets r1 start again while it has a request.
-  void start_again_during_the_request() {
+  void restart_during_request() {
     asio::co_spawn(
         io_,
         [this]() -> asio::awaitable<void> {
@@ -473,39 +475,39 @@
             timer.expires_after(duration_ms{1});
             co_await timer.async_wait(as_result);
           }
-          start_again("r1", 200);
+          restart_replica("r1", 200);
         },
         asio::detached);
   }
 
-  void a_call_on_an_ended_start_is_not_sent_to_the_new_one() {
+  void a_call_on_an_ended_incarnation_is_not_resent_to_the_new_one() {
     // The replica's machine went silently: nothing but the entry of its new
     // start tells that the call will not be answered.
-    start_again("r1", 100);
+    restart_replica("r1", 100);
     replicas_[0]->script.push_back({.bytes = ""});
-    start_again_during_the_request();
+    restart_during_request();
     const timestamp asked = steady_now();
     CPPUNIT_ASSERT_EQUAL(502U, ask("/call/x")->result_int());
     CPPUNIT_ASSERT(steady_now() - asked < duration_ms{2500});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[0]->received.size());
   }
 
-  void a_repeatable_request_on_an_ended_start_goes_to_the_new_one() {
-    start_again("r1", 100);
+  void a_repeatable_request_on_an_ended_incarnation_goes_to_the_new_one() {
+    restart_replica("r1", 100);
     replicas_[0]->script.push_back({.bytes = ""});
     replicas_[0]->script.push_back({plain("hello")});
-    start_again_during_the_request();
+    restart_during_request();
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), ask("/get/x")->body());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, replicas_[0]->received.size());
   }
 
-  void an_idle_connection_to_an_ended_start_is_not_used_again() {
-    start_again("r1", 100);
+  void an_idle_connection_to_an_ended_incarnation_is_not_reused() {
+    restart_replica("r1", 100);
     replicas_[0]->script.push_back({plain("hello")});
     ask("/call/x");
     CPPUNIT_ASSERT(
         gateway_->pool().has_idle(listed("r1")->record.start(), steady_now()));
-    start_again("r1", 200);
+    restart_replica("r1", 200);
     replicas_[0]->script.push_back({plain("hello")});
     ask("/call/x");
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, gateway_->pool().opened());
@@ -519,7 +521,7 @@
     CPPUNIT_ASSERT(listed("r1") == nullptr);
   }
 
-  void a_rejected_entry_is_counted_until_it_is_sound() {
+  void a_rejected_entry_is_counted_until_it_is_valid() {
     const auto sound = listed("r1")->record;
     const std::vector<routing::rejected_entry> odd{{"x", "no zone"}};
     gateway_->replicas().replace_all({sound}, odd);
@@ -532,7 +534,7 @@
                          gateway_->replicas().rejected_entries());
   }
 
-  void a_busy_engine_is_left_to_others() {
+  void an_engine_that_peers_report_busy_is_avoided() {
     // Other gateways tell of many requests at two of three engines.
     add_replica("r2");
     add_replica("r3");
@@ -544,7 +546,7 @@
           static_cast<std::uint32_t>(stable_hash(std::string_view(busy))));
       shared.mutable_others()->add_running(40);
     }
-    gateway_->replicas().take_shared_loads(shared);
+    gateway_->replicas().apply_shared_loads(shared);
     ask_turns(1);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[2]->received.size());
   }
@@ -581,7 +583,7 @@
     CPPUNIT_ASSERT(rank(1) < rank(2));
   }
 
-  void a_spent_budget_runs_nothing() {
+  void a_request_with_a_spent_budget_is_not_sent() {
     ledger_.verdict = records::turn_verdict::budget_spent;
     const auto answer = ask("/stream/x", {{"Program", "p"}, {"Budget", "1"}});
     CPPUNIT_ASSERT_EQUAL(402U, answer->result_int());
@@ -623,7 +625,7 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  void without_routes_nothing_is_denied() {
+  void without_routes_the_answer_is_503_not_404() {
     CPPUNIT_ASSERT_EQUAL(404U, ask("/nowhere/")->result_int());
     gateway fresh(io_, gateway_->options(), ledger_);
     const auto known = std::move(clients_);
@@ -651,7 +653,7 @@
   }
 
   /// A gateway that has to prove how old its configuration is.
-  void demand_proof(duration_ms revocation) {
+  void require_fresh_configuration(duration_ms revocation) {
     gateway_options options;
     options.selection.places = routing::topology("z");
     options.headers = test_names();
@@ -721,7 +723,7 @@
   }
 
   void an_unconfirmed_configuration_admits_nobody() {
-    demand_proof(duration_ms{5000});
+    require_fresh_configuration(duration_ms{5000});
     CPPUNIT_ASSERT(!gateway_->ready());
     const auto answer = ask("/call/x", {{"Credential", "Key ka"}});
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
@@ -739,7 +741,7 @@
         200U, ask("/call/x", {{"Credential", "Key ka"}})->result_int());
   }
 
-  void a_key_taken_away_while_the_request_waits_runs_nothing() {
+  void a_key_revoked_while_the_request_waits_prevents_sending() {
     apply_tenants();
     ledger_.before_grant = [this] { apply_routes(3, {holder("b", "kb")}); };
     const auto answer =
@@ -801,7 +803,7 @@
     return {answer ? answer->result_int() : 0, sent};
   }
 
-  void a_key_taken_away_while_a_connection_is_made_runs_nothing() {
+  void a_key_revoked_while_connecting_prevents_sending() {
     const auto [status, sent] = ask_over_slow_connection(
         {{"Credential", "Key ka"}, {"Deadline", "3000"}},
         [this] { apply_routes(3, {holder("b", "kb")}); });
@@ -809,7 +811,7 @@
     CPPUNIT_ASSERT_EQUAL(401U, status);
   }
 
-  void a_zone_drained_while_a_connection_is_made_gets_nothing() {
+  void a_zone_drained_while_connecting_gets_nothing() {
     const auto [status, sent] = ask_over_slow_connection(
         {{"Credential", "Key ka"}, {"Deadline", "3000"}},
         [this] { gateway_->replicas().drains().put("z", steady_now()); });
@@ -817,7 +819,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, status);
   }
 
-  void others_do_not_count_where_one_replica_alone_may_serve() {
+  void the_common_exclusion_covers_only_allowed_replicas() {
     routing::instance_record elsewhere = listed("r1")->record;
     elsewhere.id = routing::instance_id{"r2"};
     elsewhere.zone = "y";
@@ -831,7 +833,7 @@
         routing::service_id{"s"}, {.only = {listed("r1")->record.start()}},
         request, {});
     CPPUNIT_ASSERT(only.target == nullptr);
-    CPPUNIT_ASSERT(only.barred_by == routing::exclusion::zone_drained);
+    CPPUNIT_ASSERT(only.excluded_by == routing::exclusion::zone_drained);
   }
 
   void requests_at_a_replica_that_left_count_for_its_zone() {
@@ -885,7 +887,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  void a_stream_that_breaks_off_does_not_go_on_in_a_drained_zone() {
+  void a_broken_stream_does_not_resume_in_a_drained_zone() {
     start_with_zone_drains();
     routing::zone_drains &drains = gateway_->replicas().drains();
     drains.set_known();
@@ -929,7 +931,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  void a_replica_that_turns_cold_while_a_connection_is_made() {
+  void a_replica_that_turns_cold_while_connecting_gets_nothing() {
     const auto [status, sent] = ask_over_slow_connection(
         {{"Credential", "Key ka"}, {"Deadline", "3000"}},
         [this] { turn_cold("slow", duration_ms{10000}); });
@@ -937,7 +939,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, status);
   }
 
-  void without_limits_a_cold_replica_is_one_like_others() {
+  void without_limits_a_cold_replica_is_treated_as_warm() {
     start_gateway({});
     add_replica("r2");
     turn_cold("r2", duration_ms{10000});
@@ -945,9 +947,9 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  void a_gateway_that_loses_its_proof_while_a_request_waits_runs_nothing() {
+  void a_configuration_that_expires_while_a_request_waits_prevents_sending() {
     constexpr duration_ms left{50};
-    demand_proof(tenants::revocation_margin + left);
+    require_fresh_configuration(tenants::revocation_margin + left);
     gateway_->confirm_configuration(steady_now());
     // The process is held up while the grant is under way.
     ledger_.before_grant = [left] { std::this_thread::sleep_for(2 * left); };
@@ -958,7 +960,7 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  void what_one_tenant_keeps_does_not_exist_for_another() {
+  void turns_of_one_tenant_are_invisible_to_another() {
     apply_tenants();
     for (int turn = 0; turn < 2; ++turn) {
       replicas_[0]->script.push_back(
@@ -982,7 +984,7 @@
                          ledger_.requests.back().previous);
   }
 
-  void a_tenant_over_its_quota_is_told_when_to_come_back() {
+  void a_tenant_over_its_quota_gets_retry_after() {
     tenants::tenant small = holder("a", "ka");
     small.quota = {.rate_per_second = 0.01, .burst = 4};
     apply_routes(2, {small, holder("b", "kb")});
@@ -1025,7 +1027,7 @@
     apply_routes(2, {one});
   }
 
-  void a_tenant_without_quota_asks_for_no_permit() {
+  void a_tenant_without_quota_needs_no_permit() {
     apply_routes(2, {holder("a", "ka")});
     replicas_[0]->script.push_back({plain("hello")});
     CPPUNIT_ASSERT_EQUAL(
@@ -1033,7 +1035,7 @@
     CPPUNIT_ASSERT_EQUAL(0, ledger_.permits_asked);
   }
 
-  void a_quota_that_nobody_answers_for_runs_nothing() {
+  void a_request_without_an_available_permit_is_refused() {
     serve_one_tenant();
     ledger_.no_permits = true;
     const auto answer = ask("/call/x", {{"Credential", "Key ka"}});
@@ -1042,7 +1044,7 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  void a_void_permit_is_asked_for_again() {
+  void an_expired_permit_is_requested_again() {
     serve_one_tenant();
     ledger_.void_permits = 1;
     replicas_[0]->script.push_back({plain("hello")});
@@ -1051,7 +1053,7 @@
     CPPUNIT_ASSERT_EQUAL(2, ledger_.permits_asked);
   }
 
-  void an_attempt_that_was_turned_down_keeps_its_permit() {
+  void a_refused_attempt_keeps_its_permit() {
     serve_one_tenant();
     replicas_[0]->script.assign({{refusal}, {plain("hello")}});
     CPPUNIT_ASSERT_EQUAL(
@@ -1075,7 +1077,7 @@
                                              replicas_[1]->received.size());
   }
 
-  void the_priority_of_a_tenant_goes_first() {
+  void the_tenant_priority_overrides_the_route_priority() {
     tenants::tenant urgent = holder("a", "ka");
     urgent.priority = 0;
     apply_routes(2, {urgent, holder("b", "kb")});
