--- a/src/forwarding/client_session.cpp
+++ b/src/forwarding/client_session.cpp
@@ -87,7 +87,7 @@
 
 asio::awaitable<void> client_session::run() {
   const auto self = shared_from_this();
-  make_live(socket_, gateway_.options().pool.liveness);
+  enable_liveness_checks(socket_, gateway_.options().pool.liveness);
   enter(phase::idle, duration_ms{15000});
   asio::co_spawn(gateway_.io(), watch_deadline(), asio::detached);
   bool open = true;
--- a/src/forwarding/socket_options.cpp
+++ b/src/forwarding/socket_options.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-void make_live(boost::asio::ip::tcp::socket &socket,
-               const liveness_options &options) {
+void enable_liveness_checks(boost::asio::ip::tcp::socket &socket,
+                            const liveness_options &options) {
   const int descriptor = socket.native_handle();
   set_option(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
   set_option(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
--- a/src/forwarding/socket_options.hpp
+++ b/src/forwarding/socket_options.hpp
@@ -17,8 +17,8 @@
 
 /// Sends small writes at once and ends the connection when its peer is gone.
 /// An option that the system refuses is left out.
-void make_live(boost::asio::ip::tcp::socket &socket,
-               const liveness_options &options);
+void enable_liveness_checks(boost::asio::ip::tcp::socket &socket,
+                            const liveness_options &options);
 
 /// True when the peer has closed the connection or broken it off. Bytes that
 /// wait to be read do not count as an end.
--- a/src/forwarding/upstream_pool.cpp
+++ b/src/forwarding/upstream_pool.cpp
@@ -64,7 +64,7 @@
         ? connect_error::refused
         : connect_error::failed;
   }
-  make_live(connection->socket, options_.liveness);
+  enable_liveness_checks(connection->socket, options_.liveness);
   co_return track(start, std::move(connection));
 }
 
--- a/src/http/call_client.cpp
+++ b/src/http/call_client.cpp
@@ -67,7 +67,7 @@
   const auto [failure] = co_await over->socket.async_connect(
       tcp::endpoint(parsed.value().ip, parsed.value().port), as_result);
   if (!failure) {
-    forwarding::make_live(over->socket, {});
+    forwarding::enable_liveness_checks(over->socket, {});
   }
   co_return !failure;
 }
