--- a/src/http/call_client.cpp
+++ b/src/http/call_client.cpp
@@ -52,7 +52,7 @@
   while (!idle_.empty()) {
     connection_ptr candidate = std::move(idle_.back());
     idle_.pop_back();
-    if (forwarding::is_quiet(candidate->socket)) {
+    if (forwarding::is_open_and_idle(candidate->socket)) {
       return candidate;
     }
   }
