--- a/src/forwarding/attempt_plan.cpp
+++ b/src/forwarding/attempt_plan.cpp
@@ -51,7 +51,8 @@
     const bool only_new_replicas_tried =
         !replica_limit_reached && !possible_executors_.empty();
     if (only_new_replicas_tried && !retrying_possible_executors_) {
-      // Nobody else is there: a replica that may have run it may run it again.
+      // No other replica is available, so a repeatable request may go to one
+      // that may already have executed it.
       retrying_possible_executors_ = true;
       return send_step{.excluded = refused_by_, .only = possible_executors_};
     }
@@ -89,7 +90,8 @@
     return give_up("all replicas are warming up");
   }
   refused_by_.clear();
-  // Another one may come or become warm meanwhile.
+  // Wait in short steps: another replica may start or finish its slow start
+  // earlier.
   const duration_ms pause =
       std::max(next_admission - now, limits_.initial_backoff);
   return wait_step{std::min(pause, limits_.max_backoff)};
--- a/src/forwarding/attempt_plan.hpp
+++ b/src/forwarding/attempt_plan.hpp
@@ -1,11 +1,13 @@
-// What is done next with one client request: send it to a replica, wait, or
-// answer it. A reducer over what became of the attempts so far; it does no I/O
-// and is handed the time.
+// The retry policy of one client request. From the outcomes of the attempts so
+// far it decides the next step: send the request to a replica, back off, or
+// answer the client. It performs no I/O and receives the current time as an
+// argument.
 //
-// It keeps two promises. A request that may have run is sent again only when
-// its route allows that, and to no more replicas than the route allows. And
-// "not run" (503) is answered only when no attempt may have run. A replica that
-// starts again under its id is another one: the start that was sent to has
+// It guarantees two properties. A request that may have been executed is sent
+// again only when its route allows repetition, and to at most `max_attempts`
+// replicas. A 503 ("not executed") is answered only when no attempt may have
+// been executed. A replica that restarts under the same id counts as a
+// different replica, because the incarnation that received the request has
 // ended.
 #pragma once
 
@@ -21,30 +23,30 @@
 
 namespace heathtrestle::forwarding {
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 enum class attempt_outcome : std::uint8_t {
-  not_sent,     // no connection: nothing left this gateway
-  not_executed, // the replica says that it did not run the request
-  lost,         // sent, and no whole answer came: it may have run
+  not_sent,     // no connection: no byte left this gateway
+  not_executed, // the replica reports that it did not execute the request
+  lost,         // sent without a complete answer: it may have been executed
 };
 
-/// Send to a replica that is in neither set, or only to one that may have run
-/// the request already.
+/// Sends the request to a replica that is not in `excluded` and, when `only` is
+/// not empty, is in `only`.
 struct send_step {
   std::set<routing::incarnation> excluded;
-  /// When not empty, only these may get it.
+  /// When not empty, only these replicas may receive the request.
   std::set<routing::incarnation> only;
 };
 
-/// Ask again after a pause: no replica takes the request now.
+/// Waits before the next step, because no replica accepts the request now.
 struct wait_step {
   duration_ms pause{0};
 };
 
-/// Answer the client; the request gets no further attempt.
+/// Answers the client; no further attempt is made.
 struct answer_step {
   std::uint32_t status = 503;
-  /// When to come back; zero where a retry does not help.
+  /// The value of Retry-After; zero when a retry would not help.
   duration_ms retry_after{0};
   std::string_view reason;
 };
@@ -52,9 +54,10 @@
 using next_step = std::variant<send_step, wait_step, answer_step>;
 
 struct plan_limits {
-  /// Attempts after a loss, whichever replicas they go to.
+  /// Lost attempts, at any replica, after which the request is given up.
   std::uint32_t max_losses = 4;
-  /// Share of the time until the deadline that a request waits for a place.
+  /// Fraction of the time until the deadline for which a request waits for a
+  /// replica to accept it.
   double wait_fraction = 0.45;
   duration_ms initial_backoff{4};
   duration_ms max_backoff{50};
@@ -63,43 +66,45 @@
 
 class attempt_plan {
 public:
-  /// @param deadline when the client, or the route's timeout, gives up.
+  /// @param max_attempts the number of different replicas that may execute the
+  /// request.
+  /// @param deadline when the client or the route's timeout gives up.
   attempt_plan(bool repeatable, std::uint32_t max_attempts, timestamp arrived,
                timestamp deadline, plan_limits limits = {});
 
-  /// @param instance the replica of the attempt.
+  /// Records the outcome of an attempt at `instance`.
   void on_attempt(const routing::incarnation &instance,
                   attempt_outcome outcome);
-  /// The replica has ended: it no longer counts among those that may have run
-  /// the request, for no answer of it can come any more.
+  /// Records that a replica has ended. It no longer counts as one that may have
+  /// executed the request, since it cannot answer any more.
   void on_instance_ended(const routing::incarnation &instance);
-  /// No replica fits the last `send_step`.
+  /// Records that no replica satisfies the last `send_step`.
   void on_no_candidate();
-  /// Something that lasts keeps the request from every replica: it is answered
-  /// at once instead of waiting in vain.
-  /// @param reason outlives the plan.
-  /// @param come_back_after when that may have passed.
+  /// Records a lasting condition that excludes every replica, so that the
+  /// request is answered at once instead of waiting.
+  /// @param reason must outlive the plan.
+  /// @param retry_delay the value of Retry-After.
   void on_blocked(std::string_view reason, duration_ms retry_delay) {
     blocked_reason_ = reason;
     limits_.retry_delay = retry_delay;
   }
 
-  /// All replicas that fit are warming up, and one may be sent the request at
-  /// `free_at`. It waits until then, or is answered at once where that is later
-  /// than it would wait for a place.
+  /// Records that all suitable replicas are in slow start, and that the next
+  /// request may be sent to one of them at `next_admission`. The plan waits
+  /// until then, or answers at once if that is past the wait deadline.
   void on_warming_up(timestamp next_admission) {
     next_admission_ = next_admission;
   }
 
   [[nodiscard]] next_step next(timestamp now);
 
-  /// True when a replica may have run the request.
+  /// Returns whether a replica may have executed the request.
   [[nodiscard]] bool may_have_run() const { return may_have_run_; }
 
 private:
   [[nodiscard]] answer_step give_up(std::string_view reason) const;
   [[nodiscard]] next_step wait_for_warm_up(timestamp now);
-  /// Until when it waits for a place.
+  /// The latest time until which the request waits for a replica to accept it.
   [[nodiscard]] timestamp wait_deadline() const;
 
   bool repeatable_;
@@ -109,15 +114,16 @@
   plan_limits limits_;
 
   bool may_have_run_ = false;
-  /// Replicas, still there, that may have run it.
+  /// Running replicas that may have executed the request.
   std::set<routing::incarnation> possible_executors_;
-  /// Replicas that turned it down since the last pause.
+  /// Replicas that refused the request since the last backoff.
   std::set<routing::incarnation> refused_by_;
   std::uint32_t losses_ = 0;
   bool no_candidate_ = false;
-  std::string_view blocked_reason_; // empty: not barred
+  std::string_view blocked_reason_; // empty: not blocked
   std::optional<timestamp> next_admission_;
-  /// Set while the step is for those that may have run it, for want of others.
+  /// Set while the request is offered again to `possible_executors_` because no
+  /// other replica is available.
   bool retrying_possible_executors_ = false;
   duration_ms backoff_;
 };
