--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-/// Times are measured in whole milliseconds; none is taken for zero.
+/// Times have a resolution of one millisecond. A lower bound keeps ratios
+/// finite.
 constexpr double min_response_ms = 0.5;
 
-/// Loads are told by incarnation: what ran on an earlier start of a replica
-/// does not load the later one.
+/// The key of a replica in load reports. It identifies the incarnation, because
+/// requests of an earlier incarnation do not load the later one.
 std::uint32_t load_key(const routing::instance &each) {
   return static_cast<std::uint32_t>(stable_hash(name_of(each.record.start())));
 }
@@ -25,20 +26,20 @@
   answered.avoid_until = {};
 }
 
-/// What keeps a request from all replicas alike.
+/// Finds the exclusion that applies to all replicas of a service.
 class common_exclusion {
 public:
-  /// One replica more, and what keeps the request from it.
+  /// Adds one replica's exclusion.
   void add(routing::exclusion cause) {
     using routing::exclusion;
     if (cause == exclusion::leaving) {
-      return; // says nothing: others take its place
+      return; // ignored: a leaving replica is replaced by another
     }
     open_ = open_ || cause == exclusion::none;
     cause_ = cause_ == exclusion::warming_up ? cause_ : cause;
   }
 
-  /// `none` while one may serve.
+  /// Returns `none` if at least one replica is not excluded.
   [[nodiscard]] routing::exclusion cause() const {
     return open_ ? routing::exclusion::none : cause_;
   }
@@ -48,8 +49,9 @@
   routing::exclusion cause_ = routing::exclusion::none;
 };
 
-/// Turns of a program leave a drained zone together, so that its prompt is read
-/// again once. All else goes elsewhere at once: it has no conversation there.
+/// All turns of a program leave a drained zone at the same time, so that
+/// another zone computes its prompt only once. Other requests have no cached
+/// conversation and leave the zone at once.
 routing::traffic_place traffic_place_of(const client_request &request,
                                         const routing::zone_drains &drains,
                                         timestamp now) {
@@ -122,7 +124,8 @@
     return;
   case routing::put_outcome::without_start:
     on_instance_removed(before);
-    record_rejection(entry.id, "tells no start although it did before", true);
+    record_rejection(
+        entry.id, "entry lacks the start time that an earlier entry had", true);
     return;
   case routing::put_outcome::started_again:
     if (before != nullptr) {
@@ -152,8 +155,9 @@
 void replica_selector::on_started_again(const routing::instance &before,
                                         const routing::instance_record &now) {
   const routing::incarnation ended = before.record.start();
-  // Two processes cannot listen on one address: there the earlier one has ended
-  // for certain. Elsewhere it may still be finishing what it has.
+  // Two processes cannot listen on the same address, so there the earlier one
+  // has certainly ended. At another address it may still be finishing its
+  // requests.
   const bool same_address = before.record.address == now.address;
   if (same_address && ended.born_ms != 0) {
     pool_.close_all(ended);
@@ -196,8 +200,8 @@
   }
 }
 
-// An entry tells how long its replica stays cold from when it was written. How
-// long it was on its way is not known, so the time counts from now: it may look
+// An entry holds the remaining warm-up time at the moment it was written. Its
+// age is unknown, so the time is counted from now: a replica may be treated as
 // cold for too long, never for too short.
 void replica_selector::update_slow_start(routing::instance &entry) {
   if (entry.record.cold_for <= duration_ms{0}) {
@@ -331,8 +335,8 @@
   return view;
 }
 
-// Gateways report engines to each other only: answers of plain replicas are
-// shorter than any report is old.
+// Load reports cover engines only: plain replicas answer faster than reports
+// arrive.
 void replica_selector::add_engine_loads(
     std::vector<balance::candidate> &candidates,
     const std::vector<routing::instance_ptr> &engines, double turn_ms,
@@ -458,8 +462,8 @@
   const auto &instances = directory_.of(service);
   const auto found =
       std::find_if(instances.begin(), instances.end(), [&](const auto &each) {
-        // Records of gateways that knew no starts name the bare id; it is
-        // believed, for a wrong guess costs time only.
+        // Records may name the id without the incarnation. Such an entry is
+        // accepted, since a wrong guess only costs time.
         return place.instance == name_of(each->record.start()) ||
                place.instance == each->record.id.value();
       });
@@ -517,7 +521,7 @@
 void replica_selector::on_answered(routing::instance &answered,
                                    const std::string &route,
                                    double elapsed_ms) {
-  // Answers of one route differ by their content: the mean of some fifty.
+  // Answers of one route differ in size, so the average covers about fifty.
   constexpr double weight = 0.02;
   clear_failures(answered);
   const double taken = std::max(elapsed_ms, min_response_ms);
--- a/src/forwarding/replica_selector.hpp
+++ b/src/forwarding/replica_selector.hpp
@@ -1,7 +1,7 @@
-// Which replica of a service a request goes to, and what this gateway knows of
-// the replicas for that: the directory, how they answered, what they probably
-// keep, and what other gateways have told. Sends nothing itself; closes the
-// connections to replicas that have ended.
+// Selects the replica of a service that receives a request. Maintains the
+// gateway's view of the replicas: the directory, response times and failures,
+// estimated prefix caches, and the loads that other gateways report. It sends
+// no requests, but closes pooled connections to replicas that have ended.
 #pragma once
 
 #include "balance/admission_share.hpp"
@@ -37,109 +37,115 @@
   policy_switches policies;
   balance::engine_choice_options engine_choice;
   balance::plain_choice_options plain_choice;
-  /// How long a replica that could not be reached is avoided.
+  /// How long a replica is avoided after a failure.
   duration_ms avoid_for{1000};
-  /// Time from the operator's request to drain a zone until its replicas get
-  /// nothing more; zero where zones are not drained.
+  /// Time from the operator's request to drain a zone until its replicas
+  /// receive no more requests; zero when zones are never drained.
   duration_ms zone_drain{0};
-  /// What replicas may get while they warm up.
+  /// Limits on the requests sent to a replica that is warming up.
   balance::slow_start_limits slow_start;
 };
 
-/// The replica that a request goes to, and what was known of it then.
+/// The selected replica and its estimated state at the time of the selection.
 struct placement {
-  /// Null when no replica fits.
+  /// Null when no replica is suitable.
   routing::instance_ptr target;
-  /// Tokens of the prompt that it was taken to lack.
+  /// Estimated number of prompt tokens that are missing from its prefix cache.
   std::uint64_t missing_tokens = 0;
-  /// Requests that were taken to run there.
+  /// Estimated number of requests running there.
   double running = 0;
-  /// Without a target: what keeps the request from every replica that is up, so
-  /// that waiting for one is in vain; `none` where one may become free.
+  /// Without a target: the condition that excludes every listed replica, or
+  /// `none` when a replica may become available.
   routing::exclusion excluded_by = routing::exclusion::none;
-  /// Where all that fit are warming up: when one may be sent the request.
+  /// When all suitable replicas are warming up: the time at which one of them
+  /// may be sent a request.
   timestamp next_admission{};
 };
 
 class replica_selector {
 public:
-  /// @param pool whose idle connections are preferred; outlives the selector.
+  /// @param pool whose idle connections are preferred; must outlive the
+  /// selector.
   replica_selector(selector_options options, upstream_pool &pool)
       : options_(std::move(options)), pool_(pool),
         drains_(options_.zone_drain) {}
 
-  /// Takes in a configuration.
+  /// Applies a new configuration.
   void apply(std::shared_ptr<const routing::route_table> routes);
 
-  /// An entry that is new or was written again.
+  /// Adds an entry, or applies a rewritten one.
   void put(routing::instance_record record);
-  /// The entry under this id cannot be one that a replica wrote: nothing is
-  /// sent there until a sound one comes.
+  /// Removes the replica because the entry under its id is invalid. Nothing is
+  /// sent to it until a valid entry arrives.
   void reject(const routing::instance_id &id, const std::string &reason);
   void remove(const routing::instance_id &id);
-  /// Takes in a listing.
-  /// @param rejected the entries of it that no replica can have written.
+  /// Replaces the directory by a complete listing.
+  /// @param rejected the invalid entries of the listing.
   void replace_all(std::vector<routing::instance_record> records,
                    const std::vector<routing::rejected_entry> &rejected = {});
-  /// Entries that are rejected at present.
+  /// The number of entries that are currently rejected.
   [[nodiscard]] std::size_t rejected_entries() const {
     return rejected_.size();
   }
   [[nodiscard]] const routing::instance_directory &directory() const {
     return directory_;
   }
-  /// The zones that get nothing new.
+  /// The zones that are being drained.
   [[nodiscard]] routing::zone_drains &drains() { return drains_; }
   [[nodiscard]] const routing::zone_drains &drains() const { return drains_; }
-  /// Requests of this gateway at the replicas of a zone.
+  /// Returns the number of this gateway's requests that are running at the
+  /// replicas of a zone.
   [[nodiscard]] std::uint32_t running_in(const std::string &zone);
   [[nodiscard]] const routing::topology &places() const {
     return options_.places;
   }
 
-  /// Chooses a replica of `service` that fits the step.
+  /// Chooses a replica of `service` that satisfies the step.
   /// @param home the regions that the request is bound to.
   [[nodiscard]] placement choose(const routing::service_id &service,
                                  const send_step &step,
                                  const client_request &request,
                                  const routing::residency &home);
-  /// Asked again in the instant before a request is sent to a replica that was
-  /// chosen earlier. Where nothing is against it the request counts as sent.
+  /// Checks again, immediately before sending, whether the request may go to
+  /// the replica chosen earlier. When the result is `none`, the request is
+  /// counted as sent.
   [[nodiscard]] routing::exclusion claim_send(routing::instance &target,
                                               const client_request &request,
                                               const routing::residency &home);
-  /// Takes note of replicas that have become warm; now and then.
+  /// Ends the slow start of replicas that have become warm. Called
+  /// periodically.
   void end_slow_starts();
-  /// Replicas that warm up, and admissions a second at them that are this
-  /// gateway's.
+  /// The number of replicas in slow start, and this gateway's share of their
+  /// admissions per second.
   struct slow_start_totals {
     std::uint32_t cold = 0;
     std::uint32_t own_admissions = 0;
   };
   [[nodiscard]] slow_start_totals slow_starts() const;
 
-  /// An engine of `service` keeps the beginning of a prompt, as the record of
-  /// an earlier turn tells.
+  /// Records the prefix that an engine of `service` has cached, according to
+  /// the record of an earlier turn.
   void learn_prefix_location(const records::turn_place &place,
                              const routing::service_id &service,
                              const std::vector<balance::prompt_part> &prompt);
 
-  /// This gateway's requests at engines, to be told to the others.
+  /// Returns this gateway's requests at engines, for the load report to other
+  /// gateways.
   [[nodiscard]] wire::ReplicaLoads engine_loads() const;
-  /// What the other gateways have reported of theirs.
+  /// Applies the load report of the other gateways.
   void apply_shared_loads(const wire::SharedLoads &shared);
 
-  /// The replica could not be reached or broke off.
+  /// Records that the replica could not be reached or broke the connection off.
   void on_failed(routing::instance &failed, std::string_view reason);
-  /// An answer that is no stream.
+  /// Records a complete answer that is not a stream.
   void on_answered(routing::instance &answered, const std::string &route,
                    double elapsed_ms);
-  /// A stream that an engine has ended whole.
-  /// @param from_start false when it only went on from an earlier engine's.
+  /// Records a stream that an engine has completed.
+  /// @param from_start false when it resumed the stream of an earlier engine.
   void on_turn_answered(routing::instance &answered,
                         const balance::turn_observation &turn, bool from_start);
 
-  /// What turns cost at the engines of each service, as learnt so far.
+  /// The learned cost model of the engines of each service.
   [[nodiscard]] const std::map<routing::service_id, balance::engine_cost_model>
       &engine_models() const {
     return engine_models_;
@@ -149,30 +155,33 @@
   [[nodiscard]] routing::exclusion
   exclusion_of(const routing::instance &target, const routing::residency &home,
                const routing::traffic_place &place, timestamp now) const;
-  /// When this gateway may send something to a replica that warms up.
+  /// Returns when this gateway may send the next request to a replica in slow
+  /// start.
   [[nodiscard]] timestamp next_send(const routing::instance &cold,
                                     timestamp now) const;
   void record_rejection(const routing::instance_id &id,
                         const std::string &reason, bool was_listed);
-  /// A replica has just been taken out of the directory.
+  /// Called after a replica was removed from the directory.
   void on_instance_removed(const routing::instance_ptr &gone);
   void apply_record(routing::instance_record record, bool written_again);
   void update_slow_start(routing::instance &entry);
   void end_slow_start(routing::instance &warm);
   void set_admissions(const routing::service_id &service);
-  /// A replica as the policies see it.
+  /// Builds the view of a replica that the selection policies use.
   [[nodiscard]] balance::candidate candidate_of(const routing::instance &each,
                                                 const client_request &request,
                                                 timestamp now) const;
-  /// Adds what the other gateways have at engines, and how those answer.
+  /// Adds the load reported by other gateways and the engines' recent wait
+  /// times.
   void add_engine_loads(std::vector<balance::candidate> &candidates,
                         const std::vector<routing::instance_ptr> &engines,
                         double turn_ms, timestamp now) const;
   void update_prefix_capacity(const routing::service_id &service);
-  /// Forgets what belongs to the earlier start.
+  /// Closes the connections that belong to the earlier incarnation.
   void on_started_again(const routing::instance &before,
                         const routing::instance_record &now);
   void log_outdated(const routing::instance_record &entry) const;
+  /// Removes a replica from the directory.
   /// @return false when it was not listed.
   bool unlist(const routing::instance_id &id);
 
@@ -181,13 +190,14 @@
   std::shared_ptr<const routing::route_table> routes_;
   routing::instance_directory directory_;
   routing::rejected_entries rejected_;
-  /// No longer listed; requests of this gateway may still run there.
+  /// Replicas that are no longer listed, but may still run requests of this
+  /// gateway.
   std::vector<routing::instance_ptr> finishing_;
   routing::zone_drains drains_;
-  /// Of the admissions of all replicas.
+  /// This gateway's share of the slow-start admissions of all replicas.
   balance::admission_share share_;
   std::map<routing::service_id, balance::engine_cost_model> engine_models_;
-  /// Smoothed time of an answer, by route, in milliseconds.
+  /// Moving average of the response time in milliseconds, by route.
   std::map<std::string, double> mean_response_ms_;
   std::mt19937_64 random_{draw_system_random()};
 };
