--- a/src/forwarding/request_exchange.cpp
+++ b/src/forwarding/request_exchange.cpp
@@ -38,15 +38,16 @@
 constexpr duration_ms startup_retry{500};
 constexpr duration_ms drain_retry{50};
 constexpr duration_ms ledger_retry{300};
-/// Another gateway can serve at once what this one cannot.
+/// Short, because another gateway can serve the request at once.
 constexpr duration_ms elsewhere_retry{20};
-/// A turn whose budget is held by others asks again after this long.
+/// The interval at which a turn requests its grant again while the budget is
+/// reserved by other turns.
 constexpr duration_ms budget_pause{100};
-/// Replicas and storage nodes at home are back when one has started there,
-/// which takes seconds: a client that asks sooner only spends its tries.
+/// Replicas and storage nodes take seconds to start. A client that retries
+/// sooner only uses up its attempts.
 constexpr duration_ms home_retry{1000};
-/// A drain lasts for seconds at the least, and clients pass over a time that is
-/// much of what they have left.
+/// A zone drain lasts for seconds, but clients ignore a Retry-After that
+/// exceeds most of their remaining time.
 constexpr duration_ms zone_drain_retry{500};
 constexpr std::string_view record_outside_reason =
     "its record would leave its home regions";
@@ -56,7 +57,7 @@
   return {text.data(), text.size()};
 }
 
-/// The seconds of "timeout=N" in a Keep-Alive field; zero when it has none.
+/// Returns the value of "timeout=N" in the Keep-Alive field; zero if absent.
 duration_ms keep_alive_of(const beast_http::fields &head) {
   const std::string_view value = to_view(head[field::keep_alive]);
   constexpr std::string_view key = "timeout=";
@@ -134,7 +135,7 @@
   co_return keep_open_ && !client_gone_;
 }
 
-// Deadline and client watch.
+// Deadline and detection of disconnected clients.
 
 void request_exchange::arm_deadline() {
   const duration_ms client_limit =
@@ -172,8 +173,8 @@
 void request_exchange::on_client_gone() {
   client_gone_ = true;
   pause_timer_.cancel();
-  // A request that must not run twice is left to finish: it is at work for
-  // somebody even when nobody hears of it.
+  // A non-idempotent request is left to finish: its effect may be wanted even
+  // if nobody receives the answer.
   const bool worth_stopping =
       route_->kind != routing::request_kind::non_idempotent;
   if (worth_stopping) {
@@ -221,8 +222,8 @@
     permit_.emplace(gateway_, request_, *caller_.permit, deadline_);
     permit_->request();
   }
-  // First turns are what is refused most: they ask for a grant only once they
-  // have a permit. Later ones wait for both at a time.
+  // A program's first turn is refused most often, so it requests a grant only
+  // after it has a permit. Later turns request both at the same time.
   const bool permit_first = caller_.permit && caller_.permit->begins_program;
   if (permit_first && !co_await await_permit()) {
     co_return false;
@@ -261,7 +262,7 @@
     co_await answer(status_unauthorized, duration_ms{0}, "no such key");
     break;
   case refusal_cause::stale_keys:
-    keep_open_ = false; // the next connection may lead to another gateway
+    keep_open_ = false; // the next connection may reach another gateway
     co_await answer(status_unavailable, gateway_.unconfirmed_retry(),
                     "the configuration cannot be confirmed");
     break;
@@ -275,7 +276,7 @@
     break;
   case refusal_cause::unknown_quota:
     if (gateway_.ledger().cut_off()) {
-      keep_open_ = false; // the next connection leads to another gateway
+      keep_open_ = false; // the next connection reaches another gateway
     }
     co_await answer(status_unavailable,
                     gateway_.ledger().cut_off()
@@ -326,7 +327,7 @@
     verdict = co_await turn_->begin();
   }
   if (verdict == records::turn_verdict::granted) {
-    // The grant may have brought news of further storage nodes.
+    // The grant may have added storage nodes to the known ones.
     if (!co_await check_storage_residency()) {
       co_return false;
     }
@@ -344,7 +345,7 @@
   } else if (verdict == records::turn_verdict::unknown_turn) {
     co_await answer(status_not_found, duration_ms{0}, "no such turn");
   } else if (gateway_.ledger().cut_off()) {
-    keep_open_ = false; // the next connection leads to another gateway
+    keep_open_ = false; // the next connection reaches another gateway
     co_await answer(status_unavailable, elsewhere_retry,
                     "this gateway is cut off from the record group");
   } else {
@@ -447,8 +448,7 @@
     co_return;
   }
   attempt_end end = attempt_outcome::not_sent;
-  // While the connection was made, what was true at the choice may have
-  // changed.
+  // The conditions of the selection may have changed while connecting.
   const auto refusal = gateway_.recheck_admission(request_, *route_);
   if (!refusal && claim_send_to(*target)) {
     const bool sends = !permit_ || permit_->consume();
@@ -478,7 +478,8 @@
 
 bool request_exchange::claim_send_to(routing::instance &target) {
   if (client_gone_ || steady_now() >= deadline_) {
-    last_failure_ = "its time was up before it was sent";
+    last_failure_ =
+        "the client disconnected or the deadline passed before it was sent";
     return false;
   }
   const auto cause = gateway_.replicas().claim_send(target, request_, home_);
@@ -517,7 +518,7 @@
   gateway_.metrics().on_sent(std::string(last_locality_));
   sent_at_ = steady_now();
   if (!co_await send(target, *connection)) {
-    last_failure_ = "broke off while the request was sent";
+    last_failure_ = "the connection broke while the request was sent";
     co_return attempt_outcome::lost;
   }
   std::optional<response_parser> parser;
@@ -545,7 +546,7 @@
   }
   std::string body;
   if (!co_await read_body(*connection, *parser, body)) {
-    last_failure_ = "the answer broke off";
+    last_failure_ = "the connection broke before the answer was complete";
     co_return attempt_outcome::lost;
   }
   recycle(target, std::move(connection), head, parser->keep_alive());
@@ -563,8 +564,8 @@
   const bool proven =
       !to_view(head[gateway_.options().headers.signature]).empty();
   if ((success && !proven) || head_sent_) {
-    // A stream that goes on elsewhere needs a stream there.
-    last_failure_ = "an answer that cannot be passed on";
+    // A resumed stream can only continue with a stream.
+    last_failure_ = "an unsigned answer, or no stream to resume from";
     co_return attempt_outcome::lost;
   }
   gateway_.replicas().on_answered(target, route_->name,
@@ -632,8 +633,8 @@
 }
 
 std::uint32_t request_exchange::engine_priority() const {
-  // Routes that are more urgent go first. A program that has missed its time
-  // earns little any more: it must not hold up those that can still keep
+  // More urgent routes have priority. A program that has missed its deadline
+  // gains little from being served and must not delay those that can still meet
   // theirs.
   constexpr std::uint32_t most_urgent = 2;
   constexpr std::uint32_t route_ranks = 3;
@@ -658,7 +659,7 @@
   if (!echoed.empty()) {
     return echoed == request_.attempt_id;
   }
-  // A refusal need not name the request that it turns down.
+  // A refusal may omit the id of the request that it refuses.
   return !to_view(head[names.not_executed]).empty() ||
          head.result_int() == status_misdirected || request_.attempt_id.empty();
 }
@@ -687,7 +688,7 @@
       break;
     }
   }
-  last_failure_ = "answers of other requests";
+  last_failure_ = "received only answers to other requests";
   co_return false;
 }
 
@@ -736,11 +737,11 @@
     auto events = splitter.feed({chunk.data(), filled});
     relayed_.note(events.size(), steady_now());
     if (!events.empty() && !co_await forward_events(std::move(events))) {
-      last_failure_ = "the client has gone";
+      last_failure_ = "writing to the client failed";
       co_return attempt_outcome::lost;
     }
     if (failure && failure != beast_http::error::need_buffer) {
-      last_failure_ = "the stream broke off: " + failure.message();
+      last_failure_ = "the stream broke: " + failure.message();
       co_return attempt_outcome::lost;
     }
   }
@@ -749,7 +750,8 @@
     co_return attempt_outcome::lost;
   }
   if (!co_await finish_stream()) {
-    // The replica has done its part; only the client's end is missing.
+    // The replica's stream is complete; only the end of the client's is
+    // missing.
     keep_open_ = false;
   }
   status_ = status_ok;
--- a/src/forwarding/request_exchange.hpp
+++ b/src/forwarding/request_exchange.hpp
@@ -1,10 +1,12 @@
-// One client request from its arrival to its final answer: leave to run it,
-// attempts at replicas as the plan says, and the answer passed on.
+// Serves one client request from its arrival to its final answer: obtains the
+// tenant's permit and the turn's grant, sends the request to replicas as the
+// retry policy (`attempt_plan`) decides, and forwards the answer.
 //
-// An answer that is no stream is read whole before any of it is passed on, so
-// that one that breaks off never looks complete. A stream is passed on by whole
-// events; where it breaks off it goes on at another replica if its route allows
-// that, and else its connection ends without the stream's end.
+// An answer that is not a stream is read completely before any of it is
+// forwarded, so that a truncated answer never looks complete. A stream is
+// forwarded event by event. If it breaks, it resumes at another replica when
+// its route allows that; otherwise the client's connection is closed without
+// the end of the stream.
 #pragma once
 
 #include "forwarding/attempt_plan.hpp"
@@ -30,6 +32,7 @@
   request_exchange(gateway &shared, tcp::socket &client,
                    client_request request);
 
+  /// Serves the request.
   /// @return true when the connection may carry another request.
   asio::awaitable<bool> run();
 
@@ -37,7 +40,7 @@
   using response_parser = beast_http::response_parser<beast_http::buffer_body>;
   using response_head = beast_http::response_header<beast_http::fields>;
 
-  /// The events that one attempt has brought, and when.
+  /// The number and the times of the events received in one attempt.
   struct relayed_events {
     std::uint64_t events = 0;
     timestamp first_at{};
@@ -52,10 +55,10 @@
     }
   };
 
-  /// How one attempt ended. Nothing means that the client has its answer.
+  /// How one attempt ended; empty when the client has been answered.
   using attempt_end = std::optional<attempt_outcome>;
 
-  // Deadline and client watch.
+  // Deadline and detection of disconnected clients.
   void arm_deadline();
   void watch_client();
   void on_client_gone();
@@ -63,50 +66,56 @@
   void disarm();
 
   // Tenants.
-  /// @return true when the request may run; else it has its answer.
+  /// @return true when the request may run; otherwise the client has been
+  /// answered.
   asio::awaitable<bool> admit();
   asio::awaitable<void> refuse(const refused &refusal);
-  /// @return true when its tenant's quota lets the request run; else it has its
-  /// answer.
+  /// Waits for a valid permit of the tenant's quota.
+  /// @return true when there is one or none is needed; otherwise the client has
+  /// been answered.
   asio::awaitable<bool> await_permit();
   asio::awaitable<void> refuse_for_quota();
-  /// Leave to begin: the permit and, for a turn, its grant.
+  /// Obtains the permit and, for a turn, the grant.
+  /// @return false when one was refused; then the client has been answered.
   asio::awaitable<bool> acquire_permissions();
-  /// Ends a request that may not be sent any more.
+  /// Answers a request whose admission was revoked before it was sent.
   asio::awaitable<void> refuse_before_send(refusal_cause cause);
-  /// True for fields of the client that no replica may see.
+  /// Returns whether a header field of the client is withheld from replicas.
   [[nodiscard]] bool is_private(boost::beast::string_view name) const;
 
   // The turn of a program.
   [[nodiscard]] bool needs_grant() const;
-  /// @return true when the request may run; else it has its answer.
+  /// @return true when the request may run; otherwise the client has been
+  /// answered.
   asio::awaitable<bool> begin_turn();
-  /// @return false when what is to be kept of it would leave its home regions:
-  /// then it has its answer.
+  /// Checks that no storage node lies outside the turn's home regions.
+  /// @return false when one does; then the client has been answered.
   asio::awaitable<bool> check_storage_residency();
   [[nodiscard]] std::uint64_t used_tokens() const;
 
   // Attempts.
   asio::awaitable<void> run_attempts();
   asio::awaitable<void> attempt(routing::instance_ptr target);
-  /// Asked in the instant before the request is sent to a replica. True only
-  /// where it is sent then.
+  /// Checks deadline, client and replica immediately before sending.
+  /// @return true when the request may be sent; it is then counted as sent.
   bool claim_send_to(routing::instance &target);
-  /// Tells the log and the metrics that its home regions keep it from being
+  /// Logs and counts that the home regions prevent the request from being
   /// served.
-  /// @param region the one outside; empty when there are several.
+  /// @param region the region outside of them; empty when there are several.
   void record_home_refusal(std::string_view cause, std::string_view node,
                            std::string_view region) const;
   asio::awaitable<attempt_end> exchange_with(routing::instance &target,
                                              connection_ptr connection);
   asio::awaitable<bool> send(const routing::instance &target,
                              upstream_connection &connection);
-  /// Reads heads until the one of this request; surplus answers are dropped.
+  /// Reads response heads until the one that belongs to this request. Answers
+  /// to other requests are discarded.
   asio::awaitable<bool> read_own_head(upstream_connection &connection,
                                       std::optional<response_parser> &parser);
-  /// Learns from a stream that the engine has ended whole.
+  /// Updates the cost model and the prefix cache estimate from a completed
+  /// stream.
   void record_turn_timing(routing::instance &target, bool from_start);
-  /// The rank at an engine: 0 is the most urgent, 9 the least.
+  /// Returns the priority sent to the engine, from 0 (most urgent) to 9.
   [[nodiscard]] std::uint32_t engine_priority() const;
   [[nodiscard]] bool is_own(const response_head &head) const;
   asio::awaitable<bool> read_body(upstream_connection &connection,
@@ -125,7 +134,8 @@
                                        std::string body);
   asio::awaitable<bool> start_stream(const response_head &head);
   asio::awaitable<bool> finish_stream();
-  /// The engine that answered, and what of the conversation it keeps.
+  /// Returns the engine that answered and the number of tokens of the
+  /// conversation that it has cached.
   [[nodiscard]] records::turn_place engine_location() const;
   template <typename Message>
   void copy_head(const response_head &head, Message &message) const;
@@ -133,7 +143,8 @@
   void log_attempt(const routing::instance &target, attempt_outcome outcome,
                    std::string_view reason) const;
   [[nodiscard]] duration_ms remaining() const;
-  /// Milliseconds from the arrival to `moment`; -1 when it never came.
+  /// Returns the milliseconds from arrival to `moment`, or -1 if `moment` is
+  /// unset.
   [[nodiscard]] std::int64_t since_arrival(timestamp moment) const;
 
   gateway &gateway_;
@@ -143,7 +154,7 @@
   const routing::route *route_ = nullptr;
   routing::service_id service_;
   admitted caller_;
-  /// Where the request may be served; set when it is admitted.
+  /// The regions in which the request may be served; set on admission.
   routing::residency home_;
   std::optional<attempt_plan> plan_;
 
@@ -155,9 +166,9 @@
   bool client_gone_ = false;
   bool done_ = false;
 
-  std::optional<send_permit> permit_; // of tenants with a quota
-  std::optional<program_turn> turn_;  // of requests that need a grant
-  std::string body_;                  // what the replica gets
+  std::optional<send_permit> permit_; // for tenants with a quota
+  std::optional<program_turn> turn_;  // for requests that need a grant
+  std::string body_;                  // the body sent to the replica
 
   // The answer.
   bool keep_open_ = true;
@@ -171,11 +182,11 @@
   std::string last_failure_;
   std::uint32_t attempts_ = 0;
 
-  /// Of the present attempt.
+  /// State of the current attempt.
   placement placement_;
   relayed_events relayed_;
 
-  /// When the parts of the way were behind it; the epoch for never.
+  /// Times of the stages of the request; the epoch if a stage was not reached.
   timestamp sent_at_{};
   timestamp head_at_{};
   timestamp first_event_at_{};
--- a/tests/forwarding/request_exchange_test.cpp
+++ b/tests/forwarding/request_exchange_test.cpp
@@ -1,5 +1,5 @@
-// Whole exchanges over loopback sockets: a client, the gateway, and replicas
-// that answer with scripted bytes.
+// Tests complete exchanges over loopback sockets between a client, the gateway
+// and replicas with scripted answers.
 #include "forwarding/client_session.hpp"
 #include "forwarding/gateway.hpp"
 #include "http/call_client.hpp"
@@ -121,8 +121,8 @@
     return made;
   }
 
-  /// Clients reach another gateway from now on; what the one before has begun
-  /// to accept ends with the test.
+  /// Replaces the gateway that clients reach. The previous one is kept until
+  /// the end of the test, because its accept loop refers to it.
   void serve_with(const gateway_options &options) {
     first_gateway_ = std::move(gateway_);
     first_clients_ = std::move(clients_);
@@ -156,14 +156,14 @@
     return gateway_->replicas().directory().find(routing::instance_id{id});
   }
 
-  /// The replica's process ends and another one starts under its id.
+  /// Registers a new incarnation of the replica under the same id.
   void restart_replica(const std::string &id, std::uint64_t born_ms) {
     routing::instance_record record = listed(id)->record;
     record.born_ms = born_ms;
     gateway_->replicas().put(record);
   }
 
-  /// Its entry is written again and tells that it is cold for so long.
+  /// Rewrites the replica's entry with a remaining warm-up time.
   void turn_cold(const std::string &id, duration_ms span) {
     const routing::instance_id which{id};
     routing::instance_record record =
@@ -210,7 +210,7 @@
     return {value.data(), value.size()};
   }
 
-  /// Requests that count against the quotas of tenants.
+  /// The number of requests counted against the quotas of tenants.
   [[nodiscard]] std::size_t counted_requests() const {
     return static_cast<std::size_t>(ledger_.permits_asked);
   }
@@ -274,7 +274,7 @@
       replica->script.push_back({.bytes = "HTTP/1.1 20", .close = true});
       replica->script.push_back({plain("hello")});
     }
-    // One replica fails, the other one fails too, and one of them succeeds.
+    // Both replicas fail once, then one of them succeeds.
     const auto answer = ask("/get/x");
     CPPUNIT_ASSERT_EQUAL(200U, answer->result_int());
   }
@@ -326,7 +326,7 @@
                                              chunk(event(2)) +
                                              chunk("id: 3\nda"),
                                     .close = true});
-    // It repeats one that the client has already.
+    // The resumed stream repeats an event that the client already has.
     replicas_[0]->script.push_back({stream_head + chunk(event(2)) +
                                     chunk(event(3)) + chunk(event(4)) +
                                     stream_end});
@@ -367,7 +367,7 @@
              .has_value());
   }
 
-  /// Turns of which each names its prompt of 5,000 tokens.
+  /// Sends turns that declare a prompt of 5,000 tokens.
   void ask_turns(int count) {
     for (int turn = 0; turn < count; ++turn) {
       const auto answer = ask("/kept/x", {{"Parts", "a:2000,b:3000"},
@@ -388,7 +388,7 @@
   }
 
   void a_turn_goes_to_the_engine_that_caches_its_conversation() {
-    // This gateway has never seen the conversation.
+    // The gateway has no cached view of the conversation.
     add_replica("r2");
     add_replica("r3");
     script_turns(1);
@@ -443,7 +443,7 @@
     };
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, missing_after("r1@100"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, missing_after("r1@102"));
-    // Of a gateway that did not tell starts apart.
+    // A record that names the id without the incarnation.
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, missing_after("r1"));
     script_turns(1);
     ask_turns(1);
@@ -454,7 +454,7 @@
   void loads_are_reported_by_incarnation() {
     restart_replica("r1", 100);
     script_turns(1);
-    ask_turns(1); // now it is known for an engine
+    ask_turns(1); // makes the selector treat it as an engine
     listed("r1")->in_flight = 3;
     wire::SharedLoads shared;
     *shared.mutable_others() = gateway_->replicas().engine_loads();
@@ -465,7 +465,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, listed("r1")->others.running);
   }
 
-  /// Lets r1 start again while it has a request.
+  /// Restarts r1 while it has a request.
   void restart_during_request() {
     asio::co_spawn(
         io_,
@@ -481,8 +481,8 @@
   }
 
   void a_call_on_an_ended_incarnation_is_not_resent_to_the_new_one() {
-    // The replica's machine went silently: nothing but the entry of its new
-    // start tells that the call will not be answered.
+    // The replica's machine fails without closing the connection; only the
+    // entry of its next incarnation shows that the call will not be answered.
     restart_replica("r1", 100);
     replicas_[0]->script.push_back({.bytes = ""});
     restart_during_request();
@@ -535,7 +535,7 @@
   }
 
   void an_engine_that_peers_report_busy_is_avoided() {
-    // Other gateways tell of many requests at two of three engines.
+    // Other gateways report many requests at two of three engines.
     add_replica("r2");
     add_replica("r3");
     script_turns(1);
@@ -562,7 +562,7 @@
                          field_of(*refused, "Retry-After"));
     CPPUNIT_ASSERT(!refused->keep_alive());
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
-    // What needs no grant is served here, and the next request elsewhere.
+    // A request that needs no grant is served, but its connection is closed.
     replicas_[0]->script.push_back({plain("hello")});
     const auto served = ask("/call/x");
     CPPUNIT_ASSERT_EQUAL(200U, served->result_int());
@@ -592,7 +592,8 @@
   }
 
   void a_budget_that_is_only_reserved_is_waited_for() {
-    // Tries that never ran hold reservations until their end is recorded.
+    // Attempts that were not executed hold reservations until their end is
+    // recorded.
     ledger_.refused_for_reservations = 2;
     replicas_[0]->script = {
         {stream_head + chunk(event(1)) + stream_end, false, false}};
@@ -608,7 +609,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
-    // Once what is settled alone exceeds the budget, waiting is of no use.
+    // Waiting does not help once the settled tokens alone exceed the budget.
     ledger_.spent = 10;
     CPPUNIT_ASSERT_EQUAL(
         402U,
@@ -633,7 +634,7 @@
         std::move(http::listen(io_, "127.0.0.1:0")).value());
     asio::co_spawn(io_, accept_clients(fresh, *clients_), asio::detached);
     CPPUNIT_ASSERT_EQUAL(503U, ask("/nowhere/")->result_int());
-    // The session still refers to the gateway: let it see its client's end.
+    // The session refers to the gateway, so wait until the session ends.
     while (!fresh.idle()) {
       io_.run_one();
     }
@@ -647,12 +648,13 @@
     return made;
   }
 
-  /// Two tenants, "a" and "b", with the keys "ka" and "kb".
+  /// Applies a configuration with the tenants "a" and "b" and the keys "ka" and
+  /// "kb".
   void apply_tenants() {
     apply_routes(2, {holder("a", "ka"), holder("b", "kb")});
   }
 
-  /// A gateway that has to prove how old its configuration is.
+  /// Starts a gateway whose configuration must have been confirmed recently.
   void require_fresh_configuration(duration_ms revocation) {
     gateway_options options;
     options.selection.places = routing::topology("z");
@@ -729,7 +731,8 @@
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
     CPPUNIT_ASSERT(!answer->keep_alive());
-    // Nor can it know that a key is unknown.
+    // With a stale configuration an unknown key is not rejected as unknown
+    // either.
     CPPUNIT_ASSERT_EQUAL(
         503U, ask("/call/x", {{"Credential", "Key kc"}})->result_int());
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
@@ -751,8 +754,8 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  /// A replica of whose queue of new connections nothing is taken until
-  /// `release`, so that the next connection to it is under way for a second.
+  /// A replica with a full accept queue. A connection to it completes only when
+  /// the client retransmits after `release`, about a second later.
   class busy_listener {
   public:
     explicit busy_listener(asio::io_context &io)
@@ -776,9 +779,10 @@
     std::vector<tcp::socket> fillers_;
   };
 
-  /// Asks while the only replica's connection is slow to come up.
-  /// @param meanwhile runs before it does.
-  /// @return the answer, and whether the replica got a byte.
+  /// Sends a request while the connection to the only replica is slow to
+  /// complete.
+  /// @param meanwhile is called before it completes.
+  /// @return the status, and whether the replica received a byte.
   std::pair<std::uint32_t, bool>
   ask_over_slow_connection(const std::map<std::string, std::string> &fields,
                            const std::function<void()> &meanwhile) {
@@ -852,7 +856,7 @@
     const auto answer = ask("/get/x", {{"Deadline", "10000"}});
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
-    // Without the cause it waits 0.02 of ten seconds for a place.
+    // Without the exclusion the request would wait 0.02 of ten seconds.
     CPPUNIT_ASSERT(steady_now() - began < duration_ms{150});
     for (const auto &replica : replicas_) {
       CPPUNIT_ASSERT(replica->received.empty());
@@ -864,10 +868,10 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  /// Starts another gateway, for which zones may be drained.
+  /// Starts a gateway whose zones may be drained.
   void start_with_zone_drains() {
     gateway_options options = gateway_->options();
-    // Long enough that no conversation leaves by itself during a test.
+    // Long enough that no conversation leaves the zone during a test.
     options.selection.zone_drain = duration_ms{600000};
     serve_with(options);
     apply_routes();
@@ -892,7 +896,7 @@
     routing::zone_drains &drains = gateway_->replicas().drains();
     drains.set_known();
     drains.confirm(steady_now());
-    // The zone's conversations have time to leave; this one has not left.
+    // The drain has just begun, so this conversation may still use the zone.
     drains.put("z", steady_now());
     replicas_[0]->script.push_back(
         {.bytes = stream_head + chunk(event(1)), .close = true});
@@ -923,7 +927,7 @@
     const auto answer = ask("/get/x", {{"Deadline", "10000"}});
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
-    // Without the cause it waits 0.02 of ten seconds for a place.
+    // Without the exclusion the request would wait 0.02 of ten seconds.
     CPPUNIT_ASSERT(steady_now() - began < duration_ms{150});
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
     turn_cold("r1", duration_ms{0});
@@ -951,7 +955,7 @@
     constexpr duration_ms left{50};
     require_fresh_configuration(tenants::revocation_margin + left);
     gateway_->confirm_configuration(steady_now());
-    // The process is held up while the grant is under way.
+    // The process stalls while the grant is pending.
     ledger_.before_grant = [left] { std::this_thread::sleep_for(2 * left); };
     const auto answer =
         ask("/stream/x",
@@ -1002,8 +1006,7 @@
         200U, ask("/call/x", {{"Credential", "Key kb"}})->result_int());
   }
 
-  /// A request was counted once, when it came: of one that broke off at one
-  /// replica and was sent to another, the second attempt counted for nobody.
+  /// Guards against counting only the first of several attempts at a request.
   void each_attempt_counts_against_the_quota() {
     add_replica("r2");
     tenants::tenant small = holder("a", "ka");
@@ -1020,7 +1023,7 @@
     CPPUNIT_ASSERT_EQUAL(sent, counted_requests());
   }
 
-  /// One tenant that may send a hundred requests a second.
+  /// Applies a configuration with one tenant limited to 100 requests a second.
   void serve_one_tenant() {
     tenants::tenant one = holder("a", "ka");
     one.quota = {.rate_per_second = 100, .burst = 100};
