--- a/src/forwarding/drain_monitor.cpp
+++ b/src/forwarding/drain_monitor.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Milliseconds; -1 where what is known was never confirmed.
+/// Returns the age of the drain list in milliseconds; -1 if it was never
+/// confirmed.
 std::int64_t age_ms(const routing::zone_drains &drains, timestamp now) {
   const auto age = drains.age(now);
   return age ? age->count() : -1;
@@ -21,8 +22,8 @@
 objects::object_watch::handlers drain_monitor::handlers() {
   return {.on_listing =
               [this](const objects::listing &listed) {
-                // A request that is being removed still counts: it may be
-                // withdrawn only once it is gone.
+                // A drain request that is being deleted still counts; the drain
+                // ends only once the object is gone.
                 std::set<std::string> zones;
                 for (const objects::object &each : listed.items) {
                   zones.insert(each.name);
--- a/src/forwarding/drain_monitor.hpp
+++ b/src/forwarding/drain_monitor.hpp
@@ -1,6 +1,6 @@
-// Keeps a gateway's list of drained zones in step with the operator's requests,
-// and tells how each drain goes: when it was heard of, when nothing of this
-// gateway runs in the zone any more, when it was taken back.
+// Applies the operator's zone drain requests to a gateway and reports the
+// progress of each drain: its start, the end of the last request in the zone,
+// and its withdrawal.
 #pragma once
 
 #include "forwarding/gateway_metrics.hpp"
@@ -14,16 +14,18 @@
 
 class drain_monitor {
 public:
-  /// Both outlive the monitor.
+  /// Both must outlive the monitor.
   drain_monitor(replica_selector &replicas, gateway_metrics &metrics)
       : replicas_(replicas), metrics_(metrics) {}
 
-  /// For the watch of the operator's requests, which are named after zones.
+  /// Returns the handlers for the watch of the drain requests, which are named
+  /// after their zones.
   objects::object_watch::handlers handlers();
 
-  /// Notes which drained zones have become quiet. Called now and then.
+  /// Detects drained zones in which no request is running any more. Called
+  /// periodically.
   void check(timestamp now);
-  /// Brings the figures up to date.
+  /// Updates the metrics of zone drains.
   void refresh_metrics(timestamp now);
 
 private:
--- a/src/forwarding/policy_switches.hpp
+++ b/src/forwarding/policy_switches.hpp
@@ -1,5 +1,5 @@
-// The mechanisms by which a gateway decides, each of which a setting can switch
-// off: to measure what it is worth, and to do without it should it misbehave.
+// Feature switches for the mechanisms of replica selection. A setting can
+// disable each of them, to measure its effect or because it misbehaves.
 #pragma once
 
 #include <string>
@@ -9,40 +9,41 @@
 namespace heathtrestle::forwarding {
 
 struct policy_switches {
-  /// What engines are taken to keep of prompts.
+  /// Prefer engines that are estimated to have the prompt's prefix cached.
   bool prefix_view = true;
-  /// Engine costs learnt from turns; without it the prior beliefs stand.
+  /// Learn engine costs from completed turns; otherwise the defaults are used.
   bool learnt_costs = true;
-  /// Where the record of the last turn says that its memory lies.
+  /// Use the engine named in the record of the previous turn as the one that
+  /// has the conversation cached.
   bool turn_places = true;
-  /// What other gateways tell of their requests.
+  /// Include the load that other gateways report.
   bool shared_loads = true;
-  /// How long first events were lately waited for at an engine.
+  /// Include an engine's recent time to the first event.
   bool engine_wait = true;
-  /// Replicas that answer slower than others get less.
+  /// Send fewer requests to replicas that answer slower than others.
   bool replica_speed = true;
-  /// Replicas of the own zone go first.
+  /// Prefer replicas in the gateway's zone.
   bool zone_preference = true;
-  /// Requests of one object go to one plain replica.
+  /// Send requests that concern the same object to the same plain replica.
   bool object_affinity = true;
-  /// Among plain replicas that are alike, one with an idle connection is taken.
+  /// Among equal plain replicas prefer one with an idle connection.
   bool connection_reuse = true;
-  /// Replicas that failed lately are avoided.
+  /// Avoid replicas that failed recently.
   bool avoidance = true;
-  /// Turns of more urgent routes go first at the engines.
+  /// Send the priority of the route or tenant to the engines.
   bool route_priority = true;
-  /// Programs that have missed their time come last at the engines.
+  /// Give programs past their deadline a low priority at the engines.
   bool late_priority = true;
-  /// Requests wait for a place before they are refused.
+  /// Let requests wait for a replica before they are refused.
   bool patience = true;
 
   bool operator==(const policy_switches &) const = default;
 };
 
-/// The names under which mechanisms are switched off.
+/// Returns the names under which the mechanisms are disabled in the settings.
 std::vector<std::string> policy_names();
 
-/// All mechanisms but those named.
+/// Returns the switches with the named mechanisms disabled.
 policy_switches policies_without(const std::vector<std::string> &names);
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/program_turn.cpp
+++ b/src/forwarding/program_turn.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// Share of the time until the deadline that a turn waits for its grant. What
-/// is refused after half of the time might as well have been held to the end:
-/// the client has no time left to ask again.
+/// Fraction of the time until the deadline for which a turn waits for its
+/// grant. It is below one half so that a refused client still has time to
+/// retry.
 constexpr double grant_wait_fraction = 0.4;
-/// A turn that nothing else bounds is kept at least this long.
+/// The minimum retention of a turn.
 constexpr duration_ms min_retention{60000};
 constexpr std::uint64_t unlimited_budget = 1ULL << 62U;
 
-/// A client's name as the record group knows it. No tenant's name holds a line
-/// feed, for it travels in a header field.
+/// Returns a client's name in the tenant's namespace. The separator is
+/// unambiguous, because tenant names travel in header fields and cannot contain
+/// a line feed.
 std::string scoped(const tenant_id &tenant, const std::string &name) {
   const bool plain = tenant.value().empty() || name.empty();
   return plain ? name : tenant.value() + '\n' + name;
@@ -151,7 +152,7 @@
                                  .place = std::move(place)},
                         .keep = retention_};
   records::retained_turn copy = end.kept;
-  granted_ = false; // settled by this, now or later
+  granted_ = false; // `finish` settles the turn, if need be later
   const bool kept =
       co_await gateway_.ledger().finish(std::move(end), deadline_);
   if (kept && may_cache()) {
--- a/src/forwarding/send_permit.cpp
+++ b/src/forwarding/send_permit.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Share of the time left that a request waits for its permit: whoever is
-/// refused then can still ask another gateway.
+/// Fraction of the remaining time for which a request waits for its permit. A
+/// client that is refused then can still retry at another gateway.
 constexpr double permit_wait_fraction = 0.4;
 
 } // namespace
@@ -69,7 +69,7 @@
       waited->answer = records::permit_answer{};
     }
     gateway_.record_permit(request_, wanted_, *waited->answer);
-    // What follows the first permit goes on with the program.
+    // Further permits of this request belong to a program already started.
     wanted_.begins_program = false;
   }
   co_return is_valid();
@@ -92,7 +92,7 @@
   case records::permit_verdict::paced:
     return {.cause = refusal_cause::paced_programs,
             .retry_after = last.retry_after};
-  case records::permit_verdict::granted: // and void each time
+  case records::permit_verdict::granted: // but expired each time
   case records::permit_verdict::unavailable:
     break;
   }
--- a/src/forwarding/send_permit.hpp
+++ b/src/forwarding/send_permit.hpp
@@ -1,7 +1,7 @@
-// The permit that one request of a tenant with a quota needs for each attempt.
-// Counted where it is sent: a second attempt needs a second permit, and one
-// that waited too long for a place a new one. An attempt that its replica
-// turned down hasn't used its permit up.
+// The quota permit of one request. Each attempt consumes one permit immediately
+// before it is sent, so a further attempt needs a new one, as does a request
+// that waited past the permit's expiry. A permit is reusable if the replica
+// refused the attempt without executing it.
 #pragma once
 
 #include "forwarding/client_request.hpp"
@@ -17,43 +17,44 @@
 
 class send_permit {
 public:
-  /// @param request outlives this.
-  /// @param deadline until when the client waits for its answer.
+  /// @param request must outlive this object.
+  /// @param deadline the time until which the client waits for its answer.
   send_permit(gateway &shared, const client_request &request,
               records::permit_request wanted, timestamp deadline);
 
-  /// Begins to ask for a permit, unless one is good or asked for.
+  /// Starts requesting a permit, unless one is valid or already requested.
   void request();
-  /// Waits until there is a good one, asking where that is needed.
-  /// @return false when it was refused: see `refusal`.
+  /// Waits for a valid permit, requesting one when needed.
+  /// @return false when it was refused; see `refusal`.
   asio::awaitable<bool> wait();
-  /// Why there is none.
+  /// Returns why there is no valid permit.
   [[nodiscard]] refused refusal() const;
-  /// Uses the permit up, in the instant before sending.
-  /// @return false when it is void by now.
+  /// Consumes the permit immediately before sending.
+  /// @return false when it has expired.
   [[nodiscard]] bool consume();
-  /// The replica has not run what was sent with it.
+  /// Makes the permit usable again after a replica refused the attempt.
   void return_unused() { used_ = false; }
 
 private:
-  /// What has become of a question, shared with who asks it.
+  /// The state of a request to the ledger, shared with the coroutine that waits
+  /// for the answer.
   struct pending_request {
     explicit pending_request(asio::io_context &io) : answered(io) {}
 
     std::optional<records::permit_answer> answer;
-    /// Cancelled when the answer is there.
+    /// Cancelled when the answer has arrived.
     asio::steady_timer answered;
   };
 
   [[nodiscard]] bool is_valid() const;
-  /// When it gives up waiting.
+  /// The time at which waiting for a permit ends.
   [[nodiscard]] timestamp wait_deadline() const;
 
   gateway &gateway_;
   const client_request &request_;
   records::permit_request wanted_;
   timestamp deadline_;
-  std::shared_ptr<pending_request> pending_; // null before the first
+  std::shared_ptr<pending_request> pending_; // null before the first request
   bool used_ = false;
 };
 
--- a/src/forwarding/storage_residency.hpp
+++ b/src/forwarding/storage_residency.hpp
@@ -1,6 +1,6 @@
-// Whether the record group may keep what a request with home regions brings. It
-// copies each record to nodes of its own choice and moves them to others when
-// nodes are lost, so all nodes that it has must lie at home.
+// Checks data residency in the record group. The group chooses the nodes that
+// store a record and moves records when nodes are lost, so all of its nodes
+// must lie in the home regions.
 #pragma once
 
 #include "records/turn_ledger.hpp"
@@ -12,10 +12,10 @@
 
 namespace heathtrestle::forwarding {
 
-/// @param nodes of the record group. A node that tells no region lies in the
-/// one of its zone.
-/// @return the first node that lies outside the home regions, with its region;
-/// nothing where all lie inside, or the request is bound to none.
+/// @param nodes the nodes of the record group. A node without a region lies in
+/// the region of its zone.
+/// @return the first node outside the home regions, with its region; nothing
+/// when all lie inside or the request is not restricted.
 std::optional<records::storage_place>
 storage_outside(const std::vector<records::storage_place> &nodes,
                 const routing::residency &home,
--- a/src/forwarding/tenant_gate.cpp
+++ b/src/forwarding/tenant_gate.cpp
@@ -35,7 +35,7 @@
                              timestamp now) const {
   const tenants::tenant *tenant = routes.keys().find(request.key.value());
   if (needs_key(route, routes)) {
-    // Whether a key is unknown is no more certain than that it is known.
+    // A stale configuration does not show that a key is unknown either.
     if (!freshness_.holds(now)) {
       return refused{.cause = refusal_cause::stale_keys};
     }
--- a/src/forwarding/tenant_gate.hpp
+++ b/src/forwarding/tenant_gate.hpp
@@ -1,7 +1,7 @@
-// Which requests may run as far as tenants are concerned: the key has to be
-// known, what is known of keys has to be fresh enough, and a tenant with a
-// quota needs a permit for each request. Decides only; the caller asks and
-// answers.
+// Admission control by tenant: checks that the request's key is known and that
+// the configuration is recent enough to rely on keys, and determines whether a
+// permit of the tenant's quota is needed. It only decides; the caller obtains
+// the permit and answers the client.
 #pragma once
 
 #include "forwarding/client_request.hpp"
@@ -20,45 +20,47 @@
 
 namespace heathtrestle::forwarding {
 
-/// How the operator counts what tenants send.
+/// How a tenant's requests are counted against its quota.
 struct quota_counting {
   /// Length of the sliding window.
   duration_ms window{5000};
-  /// What is tolerated beyond the limit of a window: a share of it, and so many
-  /// requests.
+  /// The tolerance beyond the limit of a window: a fraction of the limit, plus
+  /// a number of requests.
   double overshoot = 0;
   double slack = 0;
 };
 
 struct tenant_gate_options {
-  /// Time within which a key that was taken away must stop working everywhere;
-  /// zero when there is no such promise.
+  /// Time within which a revoked key must stop working on every gateway; zero
+  /// for no such guarantee.
   duration_ms key_revocation{0};
   quota_counting quota;
 };
 
-/// The request may run, in the name of `tenant`; empty where it needs none.
+/// The request is admitted on behalf of `tenant`, which is empty where no key
+/// is needed.
 struct admitted {
   tenant_id tenant;
-  /// Set when it goes before the route's.
+  /// Overrides the priority of the route when set.
   std::optional<std::uint32_t> priority;
   /// The tenant's home regions; empty: any.
   std::vector<std::string> home_regions;
-  /// Set when it needs a permit.
+  /// Set when the request needs a permit of the tenant's quota.
   std::optional<records::permit_request> permit;
 };
 
 enum class refusal_cause : std::uint8_t {
-  /// No key, or one that nobody holds.
+  /// The key is missing or belongs to no tenant.
   unknown_key,
-  /// The configuration was not confirmed lately enough: the key may have been
-  /// taken away since.
+  /// The configuration was not confirmed recently, so the key may have been
+  /// revoked.
   stale_keys,
-  /// The tenant has used its quota up.
+  /// The tenant's quota is used up.
   over_quota,
-  /// The tenant's programs would need more than its quota if all began at once.
+  /// The tenant's programs would exceed its quota if all of them started at
+  /// once.
   paced_programs,
-  /// No leader answers that keeps the tenant's account.
+  /// The leader that keeps the tenant's quota account does not answer.
   unknown_quota,
 };
 std::string_view name_of(refusal_cause cause);
@@ -75,26 +77,27 @@
   explicit tenant_gate(tenant_gate_options options)
       : freshness_(options.key_revocation), counting_(options.quota) {}
 
-  /// Decides on a request that has just come.
+  /// Decides on a request on its arrival.
   [[nodiscard]] admission admit(const client_request &request,
                                 const routing::route &route,
                                 const routing::route_table &routes,
                                 timestamp now) const;
-  /// The program of a request has got its first permit: what it asks for later
-  /// goes on with it.
+  /// Records that the program of a request has received its first permit. Its
+  /// later requests do not count as the start of a program.
   void record_program_start(const client_request &request);
 
-  /// Decides whether a request that was admitted may still be sent, by the
-  /// routes that are in force now: while it waited its key may have been taken
-  /// away, or this gateway cut off.
-  /// @return the cause against it, if any.
+  /// Checks by the current routes whether an admitted request may still be
+  /// sent. While it waited, its key may have been revoked or the configuration
+  /// may have become stale.
+  /// @return the cause for refusing it, if any.
   [[nodiscard]] std::optional<refusal_cause>
   recheck_admission(const client_request &request, const routing::route &route,
                     const routing::route_table &routes, timestamp now) const;
 
-  /// The configuration was current at `moment`.
+  /// Records that the configuration was current at `moment`.
   void confirm(timestamp moment) { freshness_.confirm(moment); }
-  /// False while requests with keys cannot be served.
+  /// Returns whether keys can be relied on; false while the configuration is
+  /// stale and there are tenants.
   [[nodiscard]] bool keys_are_fresh(const routing::route_table &routes,
                                     timestamp now) const {
     return routes.keys().empty() || freshness_.holds(now);
@@ -104,8 +107,8 @@
   }
 
 private:
-  /// A turn of a program that this gateway has not let in before begins one;
-  /// calls of tools belong to a program under way.
+  /// Returns whether the request is the first turn of a program that this
+  /// gateway has not seen. Requests without a turn never start a program.
   [[nodiscard]] bool begins_program(const client_request &request) const;
   [[nodiscard]] tenants::quota_terms
   terms_of(const tenants::request_quota &quota,
--- a/tests/forwarding/drain_monitor_test.cpp
+++ b/tests/forwarding/drain_monitor_test.cpp
@@ -1,4 +1,4 @@
-// How the operator's requests become the drains of a gateway.
+// Tests how the operator's drain requests are applied to a gateway.
 #include "forwarding/drain_monitor.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -51,7 +51,7 @@
     handlers_.on_change({.changed = request_for("a"), .deleted = true});
     handlers_.on_change({.changed = request_for("c"), .deleted = false});
     CPPUNIT_ASSERT(!drained("a") && drained("c"));
-    // A change that nobody told of is in the next listing.
+    // A missed change is recovered by the next listing.
     handlers_.on_listing({.items = {request_for("c")}, .revision = 2});
     CPPUNIT_ASSERT(!drained("b") && drained("c"));
   }
