--- a/src/forwarding/client_request.cpp
+++ b/src/forwarding/client_request.cpp
@@ -18,7 +18,7 @@
   return {text.data(), text.size()};
 }
 
-/// Milliseconds, with a sign when they are over.
+/// Parses a signed number of milliseconds; a negative one lies in the past.
 std::optional<duration_ms> signed_duration(std::string_view text) {
   const bool over = text.starts_with('-');
   const auto number = parse_number(over ? text.substr(1) : text);
@@ -29,7 +29,7 @@
   return duration_ms{over ? -count : count};
 }
 
-/// The most tokens that come out: the second number of "in,out".
+/// Returns the maximum number of output tokens: the second number of "in,out".
 std::uint64_t most_tokens_of(std::string_view usage) {
   const std::size_t comma = usage.find(',');
   if (comma == std::string_view::npos) {
--- a/src/forwarding/client_request.hpp
+++ b/src/forwarding/client_request.hpp
@@ -1,5 +1,5 @@
-// A client's request as the gateway reads it, and the few values in its header
-// that decide what becomes of it.
+// A client's request, with the header values that determine its routing and
+// admission.
 #pragma once
 
 #include "balance/prefix_view.hpp"
@@ -21,13 +21,13 @@
 
 namespace beast_http = boost::beast::http;
 
-/// A turn of a program: its place and its budget.
+/// The header values of a program's turn.
 struct turn_header {
   std::string program;
   std::string session;
   std::uint64_t budget = 0;      // tokens, for the whole program
   std::uint64_t most_tokens = 0; // tokens that this turn may generate
-  std::string previous;          // attempt id of the turn before; may be empty
+  std::string previous;          // attempt id of the previous turn, if any
 };
 
 struct client_request {
@@ -35,34 +35,36 @@
   timestamp arrived{};
 
   std::string attempt_id; // empty when the client sent none
-  tenants::api_key key;   // empty when the client sent none that can be read
+  tenants::api_key key;   // empty when the client sent no well-formed one
   std::string program;    // empty for requests of no program
   std::optional<duration_ms> client_deadline;
-  std::string object; // what a plain replica may know already; may be empty
+  std::string object; // affinity key for plain replicas, if any
   /// The prompt's parts in order; empty for requests without a prompt.
   std::vector<balance::prompt_part> prompt;
   /// Present on turns of programs that name a budget.
   std::optional<turn_header> turn;
   std::string previous_turn; // may be empty
 
-  /// Time until the program should end, where the client told; negative when
-  /// it should have ended.
+  /// Time until the program's deadline, if the client sent it; negative when
+  /// the deadline has passed.
   std::optional<duration_ms> program_deadline;
 };
 
-/// Reads the values of the header.
+/// Parses the header values of a request.
 client_request interpret(beast_http::request<beast_http::string_body> message,
                          timestamp arrived, const header_names &names);
 
-/// True for fields that concern one connection only, which are not passed on.
+/// Returns whether a header field applies to a single connection and must not
+/// be forwarded.
 /// @param connection the value of the message's Connection field.
 bool is_hop_by_hop(std::string_view name, std::string_view connection);
 
-/// Reads "id:tokens,id:tokens" with hexadecimal ids. @return what can be read
-/// before the first part that is malformed.
+/// Parses "id:tokens,id:tokens" with hexadecimal ids.
+/// @return the parts before the first malformed one.
 std::vector<balance::prompt_part> parse_prompt(std::string_view text);
 
-/// Reads a whole number. @return nothing when the text is anything else.
+/// Parses an unsigned integer.
+/// @return nothing when the text is anything else.
 std::optional<std::uint64_t> parse_number(std::string_view text);
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/client_session.cpp
+++ b/src/forwarding/client_session.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr std::size_t first_read_bytes = 16384;
-/// A client that rests longer than the limit by this much is closed; one that
-/// comes back just in time is served.
+/// Added to the idle timeout, so that a request sent just before the limit is
+/// still served.
 constexpr duration_ms idle_slack{1000};
 constexpr duration_ms linger_limit{500};
 constexpr duration_ms accept_pause{20};
@@ -66,7 +66,7 @@
   const bool sooner = deadline < deadline_;
   deadline_ = deadline;
   if (sooner) {
-    timer_.cancel(); // the watch takes up the new deadline
+    timer_.cancel(); // makes watch_deadline() use the new deadline
   }
 }
 
@@ -213,7 +213,7 @@
     tcp::socket socket(shared.io());
     const auto [failure] = co_await acceptor.async_accept(socket, as_result);
     if (failure) {
-      // Out of descriptors, or the client has gone already.
+      // Out of file descriptors, or the client has already disconnected.
       asio::steady_timer pause(shared.io(), accept_pause);
       co_await pause.async_wait(as_result);
       continue;
--- a/src/forwarding/client_session.hpp
+++ b/src/forwarding/client_session.hpp
@@ -1,5 +1,6 @@
-// One client's connection: reads its requests one after another within the
-// configured limits, has each served, and closes when it has rested too long.
+// One client connection. Reads requests one after another within the configured
+// limits, serves each of them, and closes the connection after the idle
+// timeout.
 #pragma once
 
 #include "forwarding/client_request.hpp"
@@ -25,27 +26,31 @@
   /// Serves the connection until it ends.
   asio::awaitable<void> run();
 
-  /// Closes the connection now when it rests, else behind its next answer.
+  /// Closes the connection at once if it is idle, otherwise after the current
+  /// answer.
   void begin_drain();
-  /// The gateway has ended first: it is not to be used from here on.
+  /// Called when the gateway is destroyed before the session, which must not
+  /// use it afterwards.
   void on_gateway_destroyed() { registered_ = false; }
 
   [[nodiscard]] tcp::socket &socket() { return socket_; }
 
 private:
-  /// What the connection waits for; each has its own time limit.
+  /// What the connection is waiting for. Each phase has its own time limit.
   enum class phase : std::uint8_t { idle, header, body, serving };
   using request_parser = beast_http::request_parser<beast_http::string_body>;
 
   void enter(phase next, duration_ms limit);
-  /// Runs while the connection lives; cancels what has waited too long.
+  /// Runs while the connection is open, and cancels the operation whose phase
+  /// has timed out.
   asio::awaitable<void> watch_deadline();
 
   asio::awaitable<std::optional<client_request>> read_request();
   asio::awaitable<bool> read_header(request_parser &parser);
   asio::awaitable<void> reject(boost::system::error_code failure);
-  /// Answers a request that could not be read, and ends the connection such
-  /// that the answer is not lost behind bytes that nobody reads.
+  /// Answers a request that could not be parsed. Then half-closes the
+  /// connection and discards further input, since closing with unread bytes
+  /// would reset the connection and could lose the answer.
   asio::awaitable<void> reject_with(std::uint32_t status);
 
   gateway &gateway_;
--- a/src/forwarding/event_stream.cpp
+++ b/src/forwarding/event_stream.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The position just behind the first blank line at or after `from`, or npos.
+/// Returns the position after the first blank line at or after `from`, or npos.
 std::size_t end_of_event(std::string_view text, std::size_t from) {
   while (true) {
     const std::size_t line_end = text.find('\n', from);
@@ -26,7 +26,7 @@
   }
 }
 
-/// The value of a line "name: value"; a space behind the colon is dropped.
+/// Returns the value of a line "name: value" without the space after the colon.
 std::optional<std::string_view> value_of(std::string_view line,
                                          std::string_view name) {
   if (!line.starts_with(name) || line.size() <= name.size() ||
@@ -71,7 +71,7 @@
 }
 
 std::vector<stream_event> event_splitter::feed(std::string_view bytes) {
-  // The blank line may have begun in the bytes that came before.
+  // The blank line may have started in the bytes received earlier.
   constexpr std::size_t longest_line_end = 3;
   const std::size_t overlap = std::min(partial_.size(), longest_line_end);
   std::size_t search = partial_.size() - overlap;
--- a/src/forwarding/event_stream.hpp
+++ b/src/forwarding/event_stream.hpp
@@ -1,5 +1,5 @@
-// Cuts a text/event-stream into whole events, so that a stream whose replica
-// breaks off is passed on up to its last whole event and no further.
+// Splits a text/event-stream into complete events, so that a stream that breaks
+// is forwarded up to its last complete event.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace heathtrestle::forwarding {
 
-/// One whole event.
+/// One complete event.
 struct stream_event {
-  /// Its bytes as received, the blank line at its end included.
+  /// The bytes as received, including the terminating blank line.
   std::string bytes;
-  /// The number in its id line, when it has one.
+  /// The number in its id line, if any.
   std::optional<std::uint64_t> id;
   /// Its data lines, joined by line feeds.
   std::string data;
@@ -22,17 +22,18 @@
 
 class event_splitter {
 public:
-  /// @return the events that are whole now, in order.
+  /// Appends received bytes.
+  /// @return the events completed by them, in order.
   std::vector<stream_event> feed(std::string_view bytes);
 
-  /// True when the stream stands between two events.
+  /// Returns whether no partial event is buffered.
   [[nodiscard]] bool at_boundary() const { return partial_.empty(); }
 
 private:
   std::string partial_;
 };
 
-/// Reads the id and the data of an event.
+/// Parses the id and the data of an event.
 stream_event parse_event(std::string bytes);
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/peer_contacts.cpp
+++ b/src/forwarding/peer_contacts.cpp
@@ -7,8 +7,7 @@
 
 namespace {
 
-/// A gateway that is there answers within a few round trips; it may be short of
-/// processor time.
+/// Allows for several round trips and a peer that is short of processor time.
 constexpr duration_ms answer_limit{350};
 
 } // namespace
@@ -43,7 +42,7 @@
   for (const auto &each : peers_) {
     asio::co_spawn(io_, poll_one(each, counted), asio::detached);
   }
-  // One that hears the group is enough; silence has to be waited for.
+  // One peer that reaches the group is enough; silence has to be waited out.
   constexpr duration_ms check_interval{20};
   const timestamp last = steady_now() + answer_limit;
   asio::steady_timer timer(io_);
--- a/src/forwarding/peer_contacts.hpp
+++ b/src/forwarding/peer_contacts.hpp
@@ -1,5 +1,6 @@
-// Asks other gateways whether they hear the record group, over the product's
-// own peer interface.
+// Polls other gateways, over their peer interface, on whether they can reach
+// the record group. The answers distinguish a failure of this gateway's network
+// from an outage of the group.
 #pragma once
 
 #include "http/call_client.hpp"
@@ -13,7 +14,8 @@
 
 namespace heathtrestle::forwarding {
 
-/// Path under which a gateway says whether it hears the record group.
+/// The path under which a gateway reports whether it can reach the record
+/// group.
 inline constexpr std::string_view peer_contact_path = "/v1/record-group";
 
 class peer_contacts {
@@ -22,7 +24,7 @@
   peer_contacts(asio::io_context &io,
                 const std::vector<std::string> &addresses);
 
-  /// Asks all of them at the same time. Returns within half a second.
+  /// Polls all peers concurrently. Returns within half a second.
   asio::awaitable<records::peer_opinion> poll();
 
 private:
--- a/src/forwarding/socket_options.hpp
+++ b/src/forwarding/socket_options.hpp
@@ -1,4 +1,4 @@
-// Options that keep a connection from hanging on a peer that says nothing more.
+// Socket options that detect a dead peer, and checks of a connection's state.
 #pragma once
 
 #include "base/time.hpp"
@@ -8,23 +8,23 @@
 namespace heathtrestle::forwarding {
 
 struct liveness_options {
-  /// A connection ends when sent bytes stay unacknowledged this long.
+  /// The connection fails when sent bytes stay unacknowledged for this long.
   duration_ms unacknowledged{1000};
-  /// Silence before the first probe, and between probes.
+  /// Idle time before the first keep-alive probe, and between probes.
   int probe_interval_s = 1;
   int probes = 2;
 };
 
-/// Sends small writes at once and ends the connection when its peer is gone.
-/// An option that the system refuses is left out.
+/// Disables Nagle's algorithm and enables TCP keep-alive and the user timeout.
+/// Options that the system rejects are ignored.
 void enable_liveness_checks(boost::asio::ip::tcp::socket &socket,
                             const liveness_options &options);
 
-/// True when the peer has closed the connection or broken it off. Bytes that
-/// wait to be read do not count as an end.
+/// Returns whether the peer has closed or reset the connection. Unread bytes do
+/// not count as an end.
 bool peer_has_closed(boost::asio::ip::tcp::socket &socket);
 
-/// True when nothing waits to be read and the peer has not closed.
+/// Returns whether no bytes are unread and the peer has not closed.
 bool is_open_and_idle(boost::asio::ip::tcp::socket &socket);
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/upstream_pool.cpp
+++ b/src/forwarding/upstream_pool.cpp
@@ -17,7 +17,7 @@
   while (!found->second.empty()) {
     connection_ptr candidate = std::move(found->second.back());
     found->second.pop_back();
-    // Bytes that wait here belong to no request: such a connection is spent.
+    // Unread bytes belong to no request, so such a connection is not reused.
     const bool usable =
         now < candidate->usable_until && is_open_and_idle(candidate->socket);
     if (usable) {
@@ -84,7 +84,7 @@
   }
   for (const auto &each : found->second) {
     if (const connection_ptr connection = each.lock()) {
-      boost::system::error_code ignored; // it is gone either way
+      boost::system::error_code ignored; // it is unusable either way
       connection->socket.close(ignored);
     }
   }
--- a/src/forwarding/upstream_pool.hpp
+++ b/src/forwarding/upstream_pool.hpp
@@ -1,6 +1,6 @@
-// Connections to replicas, kept between requests. One request at a time uses a
-// connection; an idle one is handed out again unless its replica has closed it,
-// has sent bytes that nobody asked for, or is about to close it.
+// Connection pool to replicas. A connection serves one request at a time. An
+// idle connection is reused unless the replica has closed it, has sent
+// unexpected bytes, or is about to close it.
 #pragma once
 
 #include "base/error.hpp"
@@ -21,11 +21,12 @@
 
   tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  /// When the replica may close it while it is idle.
+  /// The time after which an idle connection is not reused, because the replica
+  /// may close it.
   timestamp usable_until{};
-  /// True when it has served a request before.
+  /// Set when the connection has served a request before.
   bool reused = false;
-  /// True until it stands, or its time to connect is over.
+  /// Set while connecting, until the connection is established or times out.
   bool connecting = false;
 };
 
@@ -33,16 +34,16 @@
 
 struct pool_options {
   duration_ms connect_timeout{250};
-  /// How long an idle connection is kept when the replica names no time.
+  /// How long an idle connection is kept when the replica announces no limit.
   duration_ms idle_limit{10000};
-  /// A connection this close to its end is not used again.
+  /// A connection that expires within this time is not reused.
   duration_ms idle_margin{500};
   liveness_options liveness;
 };
 
-/// Why no connection was made.
+/// Why no connection was established.
 enum class connect_error : std::uint8_t {
-  refused, // nothing listens there any more
+  refused, // no process listens on the address
   timed_out,
   failed,
 };
@@ -52,30 +53,31 @@
   upstream_pool(asio::io_context &io, pool_options options)
       : io_(io), options_(options) {}
 
-  /// An idle connection to the instance, or a new one.
+  /// Returns an idle connection to the instance, or opens a new one.
   asio::awaitable<result_or<connection_ptr, connect_error>>
   acquire(const routing::instance_record &target);
 
-  /// True when a connection to the instance waits to be used again.
+  /// Returns whether there is an idle connection to the instance.
   [[nodiscard]] bool has_idle(const routing::incarnation &start,
                               timestamp now) const;
 
-  /// Keeps a connection whose last answer was read whole.
-  /// @param keep_alive how long the replica keeps it idle; zero when unsaid.
+  /// Returns a connection to the pool after its last answer was read
+  /// completely.
+  /// @param keep_alive how long the replica keeps it idle; zero if unspecified.
   void release(const routing::incarnation &start, connection_ptr connection,
                duration_ms keep_alive);
 
-  /// Closes the idle connections to an instance that has gone.
+  /// Closes the idle connections to an instance that is no longer listed.
   void close_idle(const routing::incarnation &start) { idle_.erase(start); }
-  /// Closes all connections to an instance whose process has ended for certain:
-  /// requests on them learn at once what they would else learn only when the
-  /// liveness check or their deadline tells.
+  /// Closes all connections to an instance whose process has certainly ended,
+  /// so that requests on them fail at once instead of at the liveness timeout
+  /// or their deadline.
   void close_all(const routing::incarnation &start);
 
-  /// Closes idle connections whose time is up.
+  /// Closes expired idle connections.
   void close_expired(timestamp now);
 
-  /// Connections made since the start.
+  /// The number of connections opened since the start.
   [[nodiscard]] std::uint64_t opened() const { return opened_; }
 
 private:
@@ -86,7 +88,7 @@
   asio::io_context &io_;
   pool_options options_;
   std::map<routing::incarnation, std::vector<connection_ptr>> idle_;
-  /// Connections that were handed out, and may have been closed since.
+  /// Connections in use; some may have been closed since.
   std::map<routing::incarnation,
            std::vector<std::weak_ptr<upstream_connection>>>
       in_use_;
--- a/tests/forwarding/peer_contacts_test.cpp
+++ b/tests/forwarding/peer_contacts_test.cpp
@@ -26,13 +26,13 @@
 
   asio::io_context io_;
 
-  /// An address that was free a moment ago.
+  /// Returns a loopback address on which nothing listens.
   std::string free_address() {
     tcp::acceptor acceptor(io_, {asio::ip::make_address("127.0.0.1"), 0});
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
   }
 
-  /// A gateway that says whether it hears the group.
+  /// Starts a peer that reports whether it reaches the group.
   std::string serve(bool hears) {
     const std::string address = free_address();
     const auto served =
