--- a/src/forwarding/gateway.cpp
+++ b/src/forwarding/gateway.cpp
@@ -47,7 +47,7 @@
   const bool moved =
       routes_ != nullptr && !routing::same_homes(routes_->settings(), settings);
   if (moved) {
-    turns_.clear(); // copies only: what may still be read here is asked for
+    turns_.clear(); // only a cache: allowed turns are fetched again
   }
   auto unknown = routing::unknown_homes(settings, replicas_.places());
   if (unknown != unknown_homes_ && !unknown.empty()) {
@@ -77,7 +77,7 @@
   if (granted) {
     tenants_.record_program_start(request);
   }
-  constexpr std::uint64_t noted_share = 2; // of the limit, a half
+  constexpr std::uint64_t noted_share = 2; // logged from half of the limit
   if (granted && answer.counted * noted_share < answer.limit) {
     return;
   }
@@ -102,8 +102,8 @@
 
 duration_ms gateway::unconfirmed_retry() {
   constexpr duration_ms elsewhere{20};
-  // A call of a tool has some 0.4 s left to wait, and fails its program when it
-  // comes back in vain.
+  // A tool call has about 0.4 s left, and its program fails if a retry is
+  // refused as well.
   constexpr duration_ms store_away{300};
   if (!unconfirmed_everywhere_()) {
     return elsewhere;
--- a/src/forwarding/gateway.hpp
+++ b/src/forwarding/gateway.hpp
@@ -1,5 +1,6 @@
-// What all client connections of one forwarding gateway share. Used from one
-// thread only, so nothing here is locked.
+// The state that all client connections of a forwarding gateway share: the
+// configuration, the replica selector, tenant admission, the connection pool
+// and the turn cache. It is used from a single thread and is not locked.
 #pragma once
 
 #include "forwarding/attempt_plan.hpp"
@@ -31,11 +32,11 @@
   tenant_gate_options tenants;
   pool_options pool;
   plan_limits plan;
-  /// Time to read a body whose header is complete.
+  /// Time limit for reading a request body after its header.
   duration_ms body_timeout{10000};
-  /// Largest answer that is held in memory before it is passed on, bytes.
+  /// Largest answer in bytes that is buffered before it is forwarded.
   std::uint64_t answer_limit = 16U << 20U;
-  /// Bytes of retained turns that are kept here.
+  /// Capacity of the turn cache in bytes.
   std::size_t turn_cache_bytes = 32U << 20U;
 };
 
@@ -43,79 +44,83 @@
 
 class gateway {
 public:
-  /// @param ledger outlives the gateway.
+  /// @param ledger must outlive the gateway.
   gateway(asio::io_context &io, gateway_options options,
           records::turn_ledger &ledger);
-  /// Sessions that are still open may be destroyed later, with `io`.
+  /// Open sessions may outlive the gateway and are destroyed with `io`.
   ~gateway();
   gateway(const gateway &) = delete;
   gateway &operator=(const gateway &) = delete;
 
-  /// Takes in a configuration. An older one than the present is ignored: what
-  /// is in force only moves up.
+  /// Applies a configuration. One that is not newer than the current one is
+  /// ignored.
   void apply_routes(routing::configuration settings);
-  /// Null until a configuration is known.
+  /// Returns the current routes; null until a configuration is known.
   [[nodiscard]] const std::shared_ptr<const routing::route_table> &
   routes() const {
     return routes_;
   }
 
-  /// Which replica a request goes to, and what is known of them.
+  /// Returns the selector of replicas.
   [[nodiscard]] replica_selector &replicas() { return replicas_; }
   [[nodiscard]] const replica_selector &replicas() const { return replicas_; }
 
-  /// Decides on a request that has just come, by `routes`.
+  /// Decides by `routes` whether a request is admitted on its arrival.
   admission admit(const client_request &request, const routing::route &route,
                   const routing::route_table &routes);
-  /// Why a request that was admitted may not be sent any more, if it may not.
+  /// Checks by the current routes whether an admitted request may still be
+  /// sent.
+  /// @return the cause for refusing it, if any.
   [[nodiscard]] std::optional<refusal_cause>
   recheck_admission(const client_request &request,
                     const routing::route &route) const;
-  /// The configuration was current at `moment`.
+  /// Records that the configuration was current at `moment`.
   void confirm_configuration(timestamp moment) { tenants_.confirm(moment); }
-  /// Tells whether the other gateways cannot confirm theirs either.
+  /// Sets the callback that returns whether the other gateways cannot confirm
+  /// their configuration either.
   void set_unconfirmed_everywhere(std::function<bool()> asked) {
     unconfirmed_everywhere_ = std::move(asked);
   }
-  /// When to come back with a key that cannot be relied on at the moment: soon
-  /// where another gateway can serve, else when the store may be back.
+  /// Returns the Retry-After for a request whose key cannot be verified: short
+  /// when another gateway can serve it, otherwise the time in which the object
+  /// store may recover.
   [[nodiscard]] duration_ms unconfirmed_retry();
-  /// Tells the log and the metrics how a request for a permit was answered.
+  /// Logs and counts the answer to a permit request.
   void record_permit(const client_request &request,
                      const records::permit_request &wanted,
                      const records::permit_answer &answer);
 
-  /// True once routes, replicas and the zones that are drained are known, until
-  /// this gateway's own drain begins, and while
-  /// this gateway is not the only one that cannot serve turns.
+  /// Returns whether the gateway accepts new clients: routes, replicas and zone
+  /// drains are known, it is not draining, it is not cut off from the record
+  /// group, and its configuration is fresh enough to verify keys.
   [[nodiscard]] bool ready() const {
     return !draining_ && routes_ != nullptr &&
            replicas_.directory().size() > 0 && replicas_.drains().known() &&
            !ledger_.cut_off() && keys_are_fresh();
   }
-  /// False while the configuration is too old to tell whose a key is.
+  /// Returns whether the configuration is recent enough to verify keys.
   [[nodiscard]] bool keys_are_fresh() const {
     return routes_ != nullptr &&
            tenants_.keys_are_fresh(*routes_, steady_now());
   }
-  /// From now on new requests are refused as not run: what is left of the time
-  /// to stop is for those under way.
+  /// Refuses new requests with 503 from now on, so that the remaining time
+  /// before the process stops is left to those in progress.
   void refuse_new_requests() { refusing_ = true; }
   [[nodiscard]] bool refusing() const { return refusing_; }
-  /// Answers what is under way and what still comes, and closes each
-  /// connection behind its answer.
+  /// Starts draining: requests are still answered, but each connection is
+  /// closed after its answer.
   void begin_drain();
   [[nodiscard]] bool draining() const { return draining_; }
-  /// True while clients had better come to another gateway with their next
-  /// request: their connections are closed behind the answers.
+  /// Returns whether connections are closed after each answer, so that clients
+  /// reconnect to another gateway.
   [[nodiscard]] bool should_close_connections() const {
     return draining_ || ledger_.cut_off() || !keys_are_fresh();
   }
   [[nodiscard]] std::size_t open_requests() const { return open_requests_; }
-  /// True while no client is connected.
+  /// Returns whether no client is connected.
   [[nodiscard]] bool idle() const { return sessions_.empty(); }
 
-  /// Brings those figures up to date that are worked out when asked for.
+  /// Updates the metrics that are computed on request.
   void refresh_metrics();
 
   void on_request_started() { ++open_requests_; }
@@ -132,15 +137,15 @@
   [[nodiscard]] gateway_metrics &metrics() { return metrics_; }
 
 private:
-  /// Drops copies that may lie here no longer, and tells of home regions that
-  /// nobody knows.
+  /// Clears the turn cache when home regions have changed, and logs home
+  /// regions that contain no known zone.
   void apply_home_regions(const routing::configuration &settings);
 
   asio::io_context &io_;
   gateway_options options_;
   records::turn_ledger &ledger_;
   std::shared_ptr<const routing::route_table> routes_;
-  /// Home regions of the configuration in which no zone lies.
+  /// Home regions of the configuration that contain no known zone.
   std::set<std::string> unknown_homes_;
   routing::split_rotation rotation_;
   tenant_gate tenants_;
--- a/src/forwarding/gateway_metrics.hpp
+++ b/src/forwarding/gateway_metrics.hpp
@@ -19,44 +19,45 @@
 public:
   gateway_metrics();
 
-  /// One client request has its final answer, or its client has gone.
-  /// @param status the answer's status; 0 when there was none.
+  /// Counts a request that was answered or whose client has disconnected.
+  /// @param status the status of the answer; 0 when there was none.
   void on_finished(const std::string &route, std::uint32_t status,
                    double seconds);
   void on_first_event(const std::string &route, double seconds);
   void on_attempt(const std::string &outcome);
-  /// A request is sent to a replica.
-  /// @param locality how far away it is.
+  /// Counts a request sent to a replica.
+  /// @param locality the distance of the replica: zone or region.
   void on_sent(const std::string &locality);
   void on_turn_verdict(const std::string &verdict, double seconds);
-  /// A request was refused before anything was asked for it.
+  /// Counts a refused request.
   void on_refused(const std::string &cause);
-  /// A request asked for a permit of its tenant.
+  /// Counts an answer to a permit request.
   void on_permit(const std::string &verdict);
-  /// A permit was void when its request could be sent; it asked again.
+  /// Counts a permit that expired before its request was sent.
   void on_void_permit();
-  /// Seconds since the configuration was current for certain; -1 for never.
+  /// Sets the seconds since the configuration was confirmed; -1 for never.
   void set_configuration_age(double seconds);
-  /// @param requests at the replicas of the drained zones.
-  /// @param age_seconds how old the list of drained zones can be; -1 for
-  /// unknown.
+  /// @param requests running at replicas in drained zones.
+  /// @param age_seconds the age of the list of drained zones; -1 if unknown.
   void set_zone_drains(std::size_t zones, std::uint32_t requests,
                        double age_seconds);
   void set_open_requests(double count);
   void set_configuration_version(double version);
-  /// Gateways that tell their load, this one included.
+  /// The number of gateways that report their load, including this one.
   void set_sharing_gateways(double count);
-  /// Entries of the replicas' directory that are rejected at present.
+  /// The number of currently rejected entries of the replica directory.
   void set_rejected_entries(double count);
-  /// A request found only replicas that warm up and take no more for now.
+  /// Counts a request that found only replicas in slow start without a free
+  /// admission.
   void on_slow_start_wait();
-  /// @param own admissions a second at the cold ones that are this gateway's.
+  /// @param cold the number of replicas in slow start.
+  /// @param own this gateway's admissions per second at these.
   void set_slow_starts(double cold, double own);
-  /// What turns at a service's engines are taken to cost.
+  /// Sets the estimated costs of turns at a service's engines.
   void set_engine_costs(const std::string &service,
                         const balance::engine_costs &costs);
 
-  /// All figures in the Prometheus text format.
+  /// Returns all metrics in the Prometheus text format.
   [[nodiscard]] std::string text() const;
 
 private:
--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -32,14 +32,15 @@
 constexpr const char *record_cluster = "records";
 constexpr duration_ms housekeeping_interval{1000};
 constexpr duration_ms drain_check{50};
-/// The entry needs two probes to see that this gateway is leaving; until then
-/// new connections still come.
+/// The load balancer at the entry needs two failed probes before it stops
+/// sending new connections.
 constexpr duration_ms min_drain{2600};
 constexpr duration_ms exit_margin{500};
 constexpr duration_ms initial_lookup_interval{250};
 constexpr duration_ms contact_check{100};
-/// Rounds of asking other gateways for the storage nodes before the store is
-/// asked: at the start of the whole system nobody knows them for a while.
+/// Rounds of asking other gateways for the storage nodes before the object
+/// store is asked. When the whole system starts, no gateway knows them at
+/// first.
 constexpr int rounds_without_store = 4;
 constexpr duration_ms max_lookup_interval{4000};
 constexpr std::uint32_t status_not_found = 404;
@@ -63,10 +64,11 @@
   http::page peer_page(std::string_view target);
   asio::awaitable<void> housekeeping();
   asio::awaitable<void> find_record_group();
-  /// Notices that the record group is not heard, and asks others about it.
+  /// Detects that the record group does not answer, and polls other gateways
+  /// about it.
   asio::awaitable<void> monitor_group_contact();
-  /// Looks the storage nodes up: with other gateways first, for a call to the
-  /// store has its price.
+  /// Looks up the storage nodes, first at other gateways to save calls to the
+  /// object store.
   asio::awaitable<bool> look_up_members(bool may_ask_store);
   void on_message(const wire::Envelope &envelope);
   [[nodiscard]] std::vector<objects::relay_address> relays() const;
@@ -87,7 +89,7 @@
   drain_monitor drain_monitor_;
   std::optional<objects::object_watch> configuration_watch_;
   std::optional<objects::object_watch> instance_watch_;
-  /// Only where zones are drained.
+  /// Set only when zones may be drained.
   std::optional<objects::object_watch> drain_watch_;
   objects::object_follower follower_;
   std::optional<tcp::acceptor> acceptor_;
@@ -100,7 +102,7 @@
              : settings.advertised_rpc_address;
 }
 
-/// The seeds but for this gateway itself.
+/// Returns the seeds without this gateway.
 std::vector<std::string> other_seeds(const gateway_settings &settings) {
   std::vector<std::string> others = settings.seeds;
   std::erase(others, settings.peer_address);
@@ -186,8 +188,9 @@
         io, *binding.store, sources_, cache_,
         objects::watch_options{
             .kind = binding.zone_drain_kind,
-            // An answer that is lost is noticed within the limit. More proof
-            // is not asked for: while the store is away every gateway would.
+            // Half of the limit, so that a lost answer is noticed in time. No
+            // explicit confirmation is requested, since every gateway would do
+            // so during an outage of the store.
             .wait = settings_.zone_drain / 2,
             .wanted = not_relayed,
             .others_ask_in_vain = no_relay_is_current},
@@ -403,7 +406,7 @@
 
 asio::awaitable<void> gateway_process::find_record_group() {
   asio::steady_timer timer(io_);
-  // A gateway that others ask must not wait for them.
+  // A seed must not wait for gateways that are waiting for it.
   const bool is_seed = other_seeds(settings_).size() < settings_.seeds.size();
   int rounds = is_seed ? rounds_without_store : 0;
   duration_ms pause = initial_lookup_interval;
@@ -412,7 +415,7 @@
       const bool knew_some = ledger_.members().members_size() > 0;
       co_await look_up_members(knew_some || rounds >= rounds_without_store);
       ++rounds;
-      // The nodes change rarely: what is known is most likely still true.
+      // The nodes change rarely, so back off while some are known.
       pause = knew_some ? std::min(2 * pause, max_lookup_interval)
                         : initial_lookup_interval;
     } else {
@@ -473,7 +476,7 @@
   while (steady_now() < last) {
     const bool idle = gateway_.open_requests() == 0 && ledger_.unsettled() == 0;
     if (steady_now() >= begun + min_drain) {
-      // The entry may still send clients here when its zone has nobody else.
+      // The entry may still send clients here if its zone has no other gateway.
       gateway_.refuse_new_requests();
       if (idle) {
         break;
@@ -492,7 +495,7 @@
 void gateway_process::on_reload() {
   const auto fresh = reload_();
   if (!fresh) {
-    return; // told where the settings are read
+    return; // logged where the settings are read
   }
   logging::line(logging::event::settings_reloaded)
       .field("log_level_before", settings_.log_level)
--- a/src/forwarding/gateway_process.hpp
+++ b/src/forwarding/gateway_process.hpp
@@ -1,6 +1,6 @@
-// A forwarding gateway as a process: its listeners, the copies of the objects
-// that it follows, its way to the record group, its pages, and its planned
-// stop.
+// The process of a forwarding gateway: its listeners, the watches of the object
+// store, the connection to the record group, the status pages and graceful
+// shutdown.
 #pragma once
 
 #include "base/error.hpp"
@@ -18,16 +18,17 @@
 
 namespace heathtrestle::forwarding {
 
-/// What the platform's adapter brings along: names, formats and calls.
+/// What the platform's adapter provides: names, formats and the object store.
 struct gateway_binding {
   header_names headers;
   objects::object_store *store = nullptr;
-  /// Where the operator's configuration is kept.
+  /// The object that holds the operator's configuration.
   std::string configuration_kind;
   std::string configuration_name;
-  /// Kind of the objects by which replicas register.
+  /// Kind of the objects that register replicas.
   std::string instance_kind;
-  /// Kind of the operator's requests to drain a zone, named after the zone.
+  /// Kind of the objects that request the drain of a zone; they are named after
+  /// the zone.
   std::string zone_drain_kind;
   std::function<result<routing::configuration>(const boost::json::value &)>
       read_configuration;
@@ -36,8 +37,9 @@
       read_instance;
 };
 
-/// Runs until a signal ends the process.
-/// @param reload reads the settings again; nothing when they do not fit.
+/// Runs the gateway until a signal ends the process.
+/// @param reload reads the settings again; returns nothing when they are
+/// invalid.
 /// @return the exit code.
 int run_gateway(asio::io_context &io, const gateway_settings &settings,
                 const gateway_binding &binding,
--- a/src/forwarding/gateway_settings.hpp
+++ b/src/forwarding/gateway_settings.hpp
@@ -18,35 +18,37 @@
   std::string readiness_address;
   std::string peer_address;
   std::string rpc_address;
-  /// Where others reach `rpc_address`; empty where it is the same.
+  /// The address at which others reach `rpc_address`, if different.
   std::string advertised_rpc_address;
   std::string metrics_address;
   std::vector<std::string> seeds;
-  /// Storage nodes that may be lost at once, disks and all.
+  /// Number of storage nodes that may be lost at once with their disks.
   std::uint64_t tolerated_losses = 1;
   std::uint64_t partitions = 0;
   std::uint64_t store_writes_per_second = 0;
   std::string store_address;
   double grace_seconds = 8;
-  /// For so long after a replica's leaving was recorded it may get new work.
+  /// How long a replica may receive new requests after its departure was
+  /// recorded.
   std::chrono::milliseconds drain_notice{1500};
-  /// Time from the operator's request to drain a zone until its replicas get
-  /// nothing more; zero where zones are not drained.
+  /// Time from the operator's request to drain a zone until its replicas
+  /// receive no more requests; zero when zones are never drained.
   std::chrono::milliseconds zone_drain{0};
-  /// Time within which a key that was taken away must stop working everywhere;
-  /// zero when that is not promised.
+  /// Time within which a revoked key must stop working on every gateway; zero
+  /// for no such guarantee.
   std::chrono::milliseconds key_revocation{0};
-  /// Window within which a tenant's requests are counted against its quota.
+  /// Length of the window in which a tenant's requests are counted against its
+  /// quota.
   double quota_window_seconds = 5;
-  /// What may be sent beyond the limit of a window: a share of it, and so many
-  /// requests more.
+  /// The tolerance beyond the limit of a window: a fraction of the limit, plus
+  /// a number of requests.
   double quota_overshoot = 0;
   double quota_slack = 0;
-  /// What a replica may get in any second while it warms up: so many times the
-  /// rate that it bears, and so many requests more; 0 where no limit is kept.
+  /// The limit for a replica that is warming up, in any second: a multiple of
+  /// its rate plus a number of requests; an overshoot of 0 disables the limit.
   double slow_start_overshoot = 0;
   double slow_start_slack = 0;
-  /// Mechanisms of choice that are switched off, by name.
+  /// Names of the selection mechanisms that are disabled.
   std::vector<std::string> disabled_policies;
   std::string log_level = "info";
   std::uint64_t log_lines = 200;
