--- a/tests/forwarding/home_regions_test.cpp
+++ b/tests/forwarding/home_regions_test.cpp
@@ -1,5 +1,5 @@
-// Requests that are bound to home regions, over loopback sockets: which
-// replicas get them, and where what is kept of them goes.
+// Tests requests bound to home regions over loopback sockets: the replicas that
+// receive them and the nodes that store their turns.
 #include "forwarding/client_session.hpp"
 #include "forwarding/gateway.hpp"
 #include "http/call_client.hpp"
@@ -27,7 +27,8 @@
 using test_support::stream_head;
 using test_support::test_names;
 
-/// Two zones in the region "a", one in "b"; all routes have their home in "a".
+/// Uses two zones in region "a" and one in "b". The home region of all routes
+/// is "a".
 class home_regions_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(home_regions_test);
   CPPUNIT_TEST(a_request_goes_home_from_a_gateway_elsewhere);
@@ -108,7 +109,8 @@
     return *(replicas_[zone] = std::move(made));
   }
 
-  /// One at home and one elsewhere, which would answer everything.
+  /// Adds a replica in the home region and one outside that would answer
+  /// everything. Returns the former.
   scripted_replica &add_both() {
     scripted_replica &elsewhere = add_replica("b1");
     for (int spare = 0; spare < 4; ++spare) {
@@ -140,11 +142,11 @@
     return gateway_->metrics().text().find(line) != std::string::npos;
   }
 
-  /// Nothing of it has left its home, and it is told that it has not run.
+  /// Checks that no replica received the request and that the answer says so.
   void check_not_run(const std::optional<http::call_response> &answer) {
     CPPUNIT_ASSERT(answer.has_value());
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
-    // A client that is back within a second finds the same.
+    // Replicas at home need at least a second to start.
     CPPUNIT_ASSERT(retry_after(*answer) >= 1);
     for (const auto &[zone, replica] : replicas_) {
       CPPUNIT_ASSERT_MESSAGE(zone, replica->received.empty());
@@ -205,7 +207,7 @@
     add_replica("b1").script.push_back({plain("elsewhere")});
     const auto began = steady_now();
     check_not_run(ask("/get/x", {{"Deadline", "10000"}}));
-    // Without the cause it waits 0.1 of five seconds for a place.
+    // Without the exclusion the request would wait 0.1 of five seconds.
     CPPUNIT_ASSERT(steady_now() - began < duration_ms{400});
     CPPUNIT_ASSERT(counted("refused_total{cause=\"outside_home\"} 1"));
   }
@@ -246,7 +248,7 @@
     };
     add_both().script.push_back({stream_head + chunk(event(1)) + stream_end});
     check_not_run(ask_turn("/kept/x"));
-    // What was granted is given back.
+    // The grant is settled.
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger_.ends.size());
     CPPUNIT_ASSERT(nothing_kept());
   }
@@ -259,7 +261,7 @@
       ledger_.places.push_back({.node = "s2", .zone = "b1"});
     };
     home.script.push_back({stream_head + chunk(event(1)) + stream_end});
-    // Its client must not take it for a turn that it can go on from.
+    // The client must not regard it as a turn that can be continued.
     CPPUNIT_ASSERT(!ask_turn("/kept/x").has_value());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger_.ends.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, ledger_.ends.front().used);
--- a/tests/support/coroutines.hpp
+++ b/tests/support/coroutines.hpp
@@ -1,4 +1,4 @@
-// Runs a coroutine to its end on an io_context of its own.
+// Runs a coroutine to completion on an io_context.
 #pragma once
 
 #include "runtime/asio.hpp"
@@ -11,7 +11,7 @@
 
 namespace heathtrestle::test_support {
 
-/// @return what the coroutine returns. Other work on `io` runs meanwhile.
+/// @return the result of the coroutine. Other work on `io` runs meanwhile.
 template <typename Value>
 Value await_result(asio::io_context &io, asio::awaitable<Value> work) {
   std::optional<Value> outcome;
--- a/tests/support/gateway_client.hpp
+++ b/tests/support/gateway_client.hpp
@@ -13,9 +13,10 @@
 
 namespace heathtrestle::test_support {
 
-/// Asks the gateway that accepts its clients at `clients`, and waits for the
-/// answer; nothing when it breaks off.
-/// @param attempt the id of the try.
+/// Sends a request to the gateway that listens at `clients`.
+/// @param attempt the attempt id of the request.
+/// @return the answer; nothing when the connection breaks before it is
+/// complete.
 inline std::optional<http::call_response>
 ask_gateway(asio::io_context &io, const tcp::acceptor &clients,
             const std::string &target, const std::string &attempt,
--- a/tests/support/header_names.hpp
+++ b/tests/support/header_names.hpp
@@ -1,4 +1,4 @@
-// Header names for tests, unlike any platform's.
+// Header names for tests; they differ from those of every platform.
 #pragma once
 
 #include "forwarding/header_names.hpp"
--- a/tests/support/scripted_replica.hpp
+++ b/tests/support/scripted_replica.hpp
@@ -23,9 +23,9 @@
 
 namespace beast_http = boost::beast::http;
 
-/// What a replica does with one request.
+/// The replica's response to one request.
 struct scripted {
-  std::string bytes; // sent as they are; {id} stands for the attempt's id
+  std::string bytes; // sent unchanged except that {id} becomes the attempt id
   bool close = false;
   bool reset = false;
 };
@@ -38,7 +38,7 @@
   }
 
   std::deque<scripted> script;
-  /// Called when a request is there, before its answer.
+  /// Called after a request was received, before it is answered.
   std::function<void()> before_answer;
   std::vector<beast_http::request<beast_http::string_body>> received;
 
@@ -78,7 +78,7 @@
       if (before_answer) {
         before_answer();
       }
-      // A client that has left by then is part of some of the scripts.
+      // Some tests disconnect before the answer, so a write error is ignored.
       static_cast<void>(co_await asio::async_write(
           socket, asio::buffer(next.bytes), as_result));
       if (next.reset) {
