--- a/src/forwarding/gateway.cpp
+++ b/src/forwarding/gateway.cpp
@@ -17,13 +17,13 @@
       tenants_(options_.tenants), pool_(io, options_.pool),
       replicas_(options_.selection, pool_), turns_(options_.turn_cache_bytes) {
   if (!options_.selection.policies.patience) {
-    options_.plan.patience = 0;
+    options_.plan.wait_fraction = 0;
   }
 }
 
 gateway::~gateway() {
   for (client_session *session : sessions_) {
-    session->on_gateway_gone();
+    session->on_gateway_destroyed();
   }
 }
 
@@ -36,18 +36,18 @@
       .field("before", routes_ ? routes_->version().value() : 0)
       .field("routes", settings.routes.size())
       .write();
-  note_homes(settings);
+  apply_home_regions(settings);
   metrics_.set_configuration_version(
       static_cast<double>(settings.version.value()));
   routes_ = std::make_shared<const routing::route_table>(std::move(settings));
   replicas_.apply(routes_);
 }
 
-void gateway::note_homes(const routing::configuration &settings) {
+void gateway::apply_home_regions(const routing::configuration &settings) {
   const bool moved = routes_ != nullptr &&
                      !routing::same_home_regions(routes_->settings(), settings);
   if (moved) {
-    turns_.clear(); // copies only: what may still be read here is asked for
+    turns_.clear(); // only a cache: allowed turns are fetched again
   }
   auto unknown = routing::unknown_home_regions(settings, replicas_.places());
   if (unknown != unknown_homes_ && !unknown.empty()) {
@@ -69,15 +69,15 @@
   return decided;
 }
 
-void gateway::note_permit(const client_request &request,
+void gateway::record_permit(const client_request &request,
                           const records::permit_request &wanted,
                           const records::permit_answer &answer) {
   const bool granted = answer.verdict == records::permit_verdict::granted;
   metrics_.on_permit(std::string(name_of(answer.verdict)));
   if (granted) {
-    tenants_.note_begun(request);
+    tenants_.record_program_start(request);
   }
-  constexpr std::uint64_t noted_share = 2; // of the limit, a half
+  constexpr std::uint64_t noted_share = 2; // logged from half of the limit
   if (granted && answer.counted * noted_share < answer.limit) {
     return;
   }
@@ -95,15 +95,15 @@
 }
 
 std::optional<refusal_cause>
-gateway::objection(const client_request &request,
+gateway::recheck_admission(const client_request &request,
                    const routing::route &route) const {
-  return tenants_.objection(request, route, *routes_, steady_now());
+  return tenants_.recheck_admission(request, route, *routes_, steady_now());
 }
 
 duration_ms gateway::unconfirmed_retry() {
   constexpr duration_ms elsewhere{20};
-  // A call of a tool has some 0.4 s left to wait, and fails its program when it
-  // comes back in vain.
+  // A tool call has about 0.4 s left, and its program fails if a retry is
+  // refused as well.
   constexpr duration_ms store_away{300};
   if (!unconfirmed_everywhere_()) {
     return elsewhere;
--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -32,16 +32,17 @@
 constexpr const char *record_cluster = "records";
 constexpr duration_ms housekeeping_interval{1000};
 constexpr duration_ms drain_check{50};
-/// The entry needs two probes to see that this gateway is leaving; until then
-/// new connections still come.
-constexpr duration_ms least_drain{2600};
+/// The load balancer at the entry needs two failed probes before it stops
+/// sending new connections.
+constexpr duration_ms min_drain{2600};
 constexpr duration_ms exit_margin{500};
-constexpr duration_ms first_lookup_pause{250};
+constexpr duration_ms initial_lookup_interval{250};
 constexpr duration_ms contact_check{100};
-/// Rounds of asking other gateways for the storage nodes before the store is
-/// asked: at the start of the whole system nobody knows them for a while.
+/// Rounds of asking other gateways for the storage nodes before the object
+/// store is asked. When the whole system starts, no gateway knows them at
+/// first.
 constexpr int rounds_without_store = 4;
-constexpr duration_ms longest_lookup_pause{4000};
+constexpr duration_ms max_lookup_interval{4000};
 constexpr std::uint32_t status_not_found = 404;
 constexpr std::uint32_t status_unavailable = 503;
 
@@ -57,16 +58,17 @@
 private:
   void send(const std::string &address, const wire::Envelope &envelope);
   records::ledger_options make_ledger_options();
-  void take_configuration(const objects::object &object);
+  void apply_configuration(const objects::object &object);
   objects::object_watch::handlers configuration_handlers();
   objects::object_watch::handlers instance_handlers();
   http::page peer_page(std::string_view target);
   asio::awaitable<void> housekeeping();
   asio::awaitable<void> find_record_group();
-  /// Notices that the record group is not heard, and asks others about it.
-  asio::awaitable<void> watch_contact();
-  /// Looks the storage nodes up: with other gateways first, for a call to the
-  /// store has its price.
+  /// Detects that the record group does not answer, and polls other gateways
+  /// about it.
+  asio::awaitable<void> monitor_group_contact();
+  /// Looks up the storage nodes, first at other gateways to save calls to the
+  /// object store.
   asio::awaitable<bool> look_up_members(bool may_ask_store);
   void on_message(const wire::Envelope &envelope);
   [[nodiscard]] std::vector<objects::relay_address> relays() const;
@@ -87,7 +89,7 @@
   drain_monitor drain_monitor_;
   std::optional<objects::object_watch> configuration_watch_;
   std::optional<objects::object_watch> instance_watch_;
-  /// Only where zones are drained.
+  /// Set only when zones may be drained.
   std::optional<objects::object_watch> drain_watch_;
   objects::object_follower follower_;
   std::optional<tcp::acceptor> acceptor_;
@@ -100,7 +102,7 @@
              : settings.advertised_rpc_address;
 }
 
-/// The seeds but for this gateway itself.
+/// Returns the seeds without this gateway.
 std::vector<std::string> other_seeds(const gateway_settings &settings) {
   std::vector<std::string> others = settings.seeds;
   std::erase(others, settings.peer_address);
@@ -159,13 +161,15 @@
   gateway_.set_unconfirmed_everywhere(
       [this] { return follower_.nobody_is_current(); });
   const auto not_relayed = [this] { return !follower_.is_current(); };
-  const auto relays_in_vain = [this] { return follower_.nobody_is_current(); };
+  const auto no_relay_is_current = [this] {
+    return follower_.nobody_is_current();
+  };
   configuration_watch_.emplace(
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.configuration_kind,
           .wanted = not_relayed,
-          .others_ask_in_vain = relays_in_vain,
+          .others_ask_in_vain = no_relay_is_current,
           .confirm_interval =
               2 * objects::confirm_interval(settings_.key_revocation)},
       configuration_handlers());
@@ -175,7 +179,7 @@
           .kind = binding.instance_kind,
           .least_interval = objects::instance_interval(settings_.drain_notice),
           .wanted = not_relayed,
-          .others_ask_in_vain = relays_in_vain},
+          .others_ask_in_vain = no_relay_is_current},
       instance_handlers());
   follower_.add(binding.configuration_kind, *configuration_watch_);
   follower_.add(binding.instance_kind, *instance_watch_);
@@ -184,11 +188,12 @@
         io, *binding.store, sources_, cache_,
         objects::watch_options{
             .kind = binding.zone_drain_kind,
-            // An answer that is lost is noticed within the limit. More proof
-            // is not asked for: while the store is away every gateway would.
+            // Half of the limit, so that a lost answer is noticed in time. No
+            // explicit confirmation is requested, since every gateway would do
+            // so during an outage of the store.
             .wait = settings_.zone_drain / 2,
             .wanted = not_relayed,
-            .others_ask_in_vain = relays_in_vain},
+            .others_ask_in_vain = no_relay_is_current},
         drain_monitor_.handlers());
     follower_.add(binding.zone_drain_kind, *drain_watch_);
   }
@@ -231,7 +236,7 @@
   options.loads = [this] { return gateway_.replicas().engine_loads(); };
   options.on_loads = [this](const wire::SharedLoads &shared) {
     gateway_.metrics().set_sharing_gateways(shared.gateways());
-    gateway_.replicas().take_shared_loads(shared);
+    gateway_.replicas().apply_shared_loads(shared);
   };
   options.on_seen = [this](const wire::SeenRevisions &seen) {
     configuration_watch_->hint(seen.configuration());
@@ -248,13 +253,13 @@
       .on_listing =
           [this](const objects::listing &listed) {
             for (const objects::object &each : listed.items) {
-              take_configuration(each);
+              apply_configuration(each);
             }
           },
       .on_change =
           [this](const objects::change &changed) {
             if (!changed.deleted) {
-              take_configuration(changed.changed);
+              apply_configuration(changed.changed);
             }
           },
       .on_confirmed =
@@ -295,7 +300,7 @@
               }};
 }
 
-void gateway_process::take_configuration(const objects::object &object) {
+void gateway_process::apply_configuration(const objects::object &object) {
   if (object.name != binding_.configuration_name) {
     return;
   }
@@ -378,7 +383,7 @@
   }
   asio::co_spawn(io_, follower_.run(), asio::detached);
   asio::co_spawn(io_, find_record_group(), asio::detached);
-  asio::co_spawn(io_, watch_contact(), asio::detached);
+  asio::co_spawn(io_, monitor_group_contact(), asio::detached);
   asio::co_spawn(io_, ledger_.run(), asio::detached);
   asio::co_spawn(io_, accept_clients(gateway_, *acceptor_), asio::detached);
   asio::co_spawn(io_, housekeeping(), asio::detached);
@@ -401,20 +406,20 @@
 
 asio::awaitable<void> gateway_process::find_record_group() {
   asio::steady_timer timer(io_);
-  // A gateway that others ask must not wait for them.
+  // A seed must not wait for gateways that are waiting for it.
   const bool is_seed = other_seeds(settings_).size() < settings_.seeds.size();
   int rounds = is_seed ? rounds_without_store : 0;
-  duration_ms pause = first_lookup_pause;
+  duration_ms pause = initial_lookup_interval;
   while (true) {
     if (ledger_.is_lost()) {
       const bool knew_some = ledger_.members().members_size() > 0;
       co_await look_up_members(knew_some || rounds >= rounds_without_store);
       ++rounds;
-      // The nodes change rarely: what is known is most likely still true.
-      pause = knew_some ? std::min(2 * pause, longest_lookup_pause)
-                        : first_lookup_pause;
+      // The nodes change rarely, so back off while some are known.
+      pause = knew_some ? std::min(2 * pause, max_lookup_interval)
+                        : initial_lookup_interval;
     } else {
-      pause = first_lookup_pause;
+      pause = initial_lookup_interval;
     }
     timer.expires_after(pause);
     co_await timer.async_wait(as_result);
@@ -446,14 +451,14 @@
   co_return listed.has_value();
 }
 
-asio::awaitable<void> gateway_process::watch_contact() {
+asio::awaitable<void> gateway_process::monitor_group_contact() {
   asio::steady_timer timer(io_);
   while (true) {
     timer.expires_after(contact_check);
     co_await timer.async_wait(as_result);
     ledger_.check_contact();
     if (ledger_.contact().state() != records::contact_state::in_touch) {
-      ledger_.on_peer_opinion(co_await contacts_.ask());
+      ledger_.on_peer_opinion(co_await contacts_.poll());
     }
   }
 }
@@ -470,8 +475,8 @@
   asio::steady_timer timer(io_);
   while (steady_now() < last) {
     const bool idle = gateway_.open_requests() == 0 && ledger_.unsettled() == 0;
-    if (steady_now() >= begun + least_drain) {
-      // The entry may still send clients here when its zone has nobody else.
+    if (steady_now() >= begun + min_drain) {
+      // The entry may still send clients here if its zone has no other gateway.
       gateway_.refuse_new_requests();
       if (idle) {
         break;
@@ -490,7 +495,7 @@
 void gateway_process::on_reload() {
   const auto fresh = reload_();
   if (!fresh) {
-    return; // told where the settings are read
+    return; // logged where the settings are read
   }
   logging::line(logging::event::settings_reloaded)
       .field("log_level_before", settings_.log_level)
--- a/src/forwarding/peer_contacts.hpp
+++ b/src/forwarding/peer_contacts.hpp
@@ -1,5 +1,6 @@
-// Asks other gateways whether they hear the record group, over the product's
-// own peer interface.
+// Polls other gateways, over their peer interface, on whether they can reach
+// the record group. The answers distinguish a failure of this gateway's network
+// from an outage of the group.
 #pragma once
 
 #include "http/call_client.hpp"
@@ -13,7 +14,8 @@
 
 namespace heathtrestle::forwarding {
 
-/// Path under which a gateway says whether it hears the record group.
+/// The path under which a gateway reports whether it can reach the record
+/// group.
 inline constexpr std::string_view peer_contact_path = "/v1/record-group";
 
 class peer_contacts {
@@ -22,21 +24,21 @@
   peer_contacts(asio::io_context &io,
                 const std::vector<std::string> &addresses);
 
-  /// Asks all of them at the same time. Returns within half a second.
-  asio::awaitable<records::peer_opinion> ask();
+  /// Polls all peers concurrently. Returns within half a second.
+  asio::awaitable<records::peer_opinion> poll();
 
 private:
   struct tally {
     std::size_t answers = 0;
-    std::size_t hear_it = 0;
+    std::size_t reachable = 0;
   };
   struct peer {
     std::string address;
     http::call_client client;
   };
 
-  static asio::awaitable<void> ask_one(std::shared_ptr<peer> asked,
-                                       std::shared_ptr<tally> counted);
+  static asio::awaitable<void> poll_one(std::shared_ptr<peer> asked,
+                                        std::shared_ptr<tally> counted);
 
   asio::io_context &io_;
   std::vector<std::shared_ptr<peer>> peers_;
--- a/src/forwarding/request_exchange.cpp
+++ b/src/forwarding/request_exchange.cpp
@@ -38,15 +38,16 @@
 constexpr duration_ms startup_retry{500};
 constexpr duration_ms drain_retry{50};
 constexpr duration_ms ledger_retry{300};
-/// Another gateway can serve at once what this one cannot.
+/// Short, because another gateway can serve the request at once.
 constexpr duration_ms elsewhere_retry{20};
-/// A turn whose budget is held by others asks again after this long.
+/// The interval at which a turn requests its grant again while the budget is
+/// reserved by other turns.
 constexpr duration_ms budget_pause{100};
-/// Replicas and storage nodes at home are back when one has started there,
-/// which takes seconds: a client that asks sooner only spends its tries.
+/// Replicas and storage nodes take seconds to start. A client that retries
+/// sooner only uses up its attempts.
 constexpr duration_ms home_retry{1000};
-/// A drain lasts for seconds at the least, and clients pass over a time that is
-/// much of what they have left.
+/// A zone drain lasts for seconds, but clients ignore a Retry-After that
+/// exceeds most of their remaining time.
 constexpr duration_ms zone_drain_retry{500};
 constexpr std::string_view record_outside_reason =
     "its record would leave its home regions";
@@ -56,7 +57,7 @@
   return {text.data(), text.size()};
 }
 
-/// The seconds of "timeout=N" in a Keep-Alive field; zero when it has none.
+/// Returns the value of "timeout=N" in the Keep-Alive field; zero if absent.
 duration_ms keep_alive_of(const beast_http::fields &head) {
   const std::string_view value = to_view(head[field::keep_alive]);
   constexpr std::string_view key = "timeout=";
@@ -123,8 +124,8 @@
     service_ = *part;
   }
   body_ = request_.message.body();
-  if (co_await get_leave()) {
-    co_await drive();
+  if (co_await acquire_permissions()) {
+    co_await run_attempts();
   }
   if (turn_) {
     turn_->settle(used_tokens());
@@ -134,7 +135,7 @@
   co_return keep_open_ && !client_gone_;
 }
 
-// Deadline and client watch.
+// Deadline and detection of disconnected clients.
 
 void request_exchange::arm_deadline() {
   const duration_ms client_limit =
@@ -172,8 +173,8 @@
 void request_exchange::on_client_gone() {
   client_gone_ = true;
   pause_timer_.cancel();
-  // A request that must not run twice is left to finish: it is at work for
-  // somebody even when nobody hears of it.
+  // A non-idempotent request is left to finish: its effect may be wanted even
+  // if nobody receives the answer.
   const bool worth_stopping =
       route_->kind != routing::request_kind::non_idempotent;
   if (worth_stopping) {
@@ -216,24 +217,24 @@
   co_return true;
 }
 
-asio::awaitable<bool> request_exchange::get_leave() {
+asio::awaitable<bool> request_exchange::acquire_permissions() {
   if (caller_.permit) {
     permit_.emplace(gateway_, request_, *caller_.permit, deadline_);
-    permit_->ask();
+    permit_->request();
   }
-  // First turns are what is refused most: they ask for a grant only once they
-  // have a permit. Later ones wait for both at a time.
-  const bool one_by_one = caller_.permit && caller_.permit->begins_program;
-  if (one_by_one && !co_await has_permit()) {
+  // A program's first turn is refused most often, so it requests a grant only
+  // after it has a permit. Later turns request both at the same time.
+  const bool permit_first = caller_.permit && caller_.permit->begins_program;
+  if (permit_first && !co_await await_permit()) {
     co_return false;
   }
   if (needs_grant() && !co_await begin_turn()) {
     co_return false;
   }
-  co_return co_await has_permit();
+  co_return co_await await_permit();
 }
 
-asio::awaitable<bool> request_exchange::has_permit() {
+asio::awaitable<bool> request_exchange::await_permit() {
   if (!permit_) {
     co_return true;
   }
@@ -261,7 +262,7 @@
     co_await answer(status_unauthorized, duration_ms{0}, "no such key");
     break;
   case refusal_cause::stale_keys:
-    keep_open_ = false; // the next connection may lead to another gateway
+    keep_open_ = false; // the next connection may reach another gateway
     co_await answer(status_unavailable, gateway_.unconfirmed_retry(),
                     "the configuration cannot be confirmed");
     break;
@@ -275,7 +276,7 @@
     break;
   case refusal_cause::unknown_quota:
     if (gateway_.ledger().cut_off()) {
-      keep_open_ = false; // the next connection leads to another gateway
+      keep_open_ = false; // the next connection reaches another gateway
     }
     co_await answer(status_unavailable,
                     gateway_.ledger().cut_off()
@@ -286,7 +287,8 @@
   }
 }
 
-asio::awaitable<void> request_exchange::withdraw(refusal_cause cause) {
+asio::awaitable<void>
+request_exchange::refuse_before_send(refusal_cause cause) {
   if (plan_->may_have_run()) {
     co_await answer(status_bad_gateway, duration_ms{0},
                     "its key holds no longer, and it may have run");
@@ -314,28 +316,28 @@
 
 asio::awaitable<bool> request_exchange::begin_turn() {
   turn_.emplace(gateway_, request_, *route_, home_, caller_.tenant, deadline_);
-  if (!co_await record_stays_home()) {
+  if (!co_await check_storage_residency()) {
     co_return false;
   }
   records::turn_verdict verdict = co_await turn_->begin();
-  while (turn_->budget_is_tied_up() && !client_gone_ &&
-         steady_now() + budget_pause < turn_->patience_ends()) {
+  while (turn_->budget_is_only_reserved() && !client_gone_ &&
+         steady_now() + budget_pause < turn_->wait_deadline()) {
     pause_timer_.expires_after(budget_pause);
     co_await pause_timer_.async_wait(as_result);
     verdict = co_await turn_->begin();
   }
   if (verdict == records::turn_verdict::granted) {
-    // The grant may have brought news of further storage nodes.
-    if (!co_await record_stays_home()) {
+    // The grant may have added storage nodes to the known ones.
+    if (!co_await check_storage_residency()) {
       co_return false;
     }
     body_.insert(0, turn_->history());
-    gateway_.replicas().learn_place(turn_->previous_place(), service_,
-                                    request_.prompt);
+    gateway_.replicas().learn_prefix_location(turn_->previous_place(), service_,
+                                              request_.prompt);
     co_return true;
   }
   turn_->log_refusal();
-  if (turn_->budget_is_tied_up()) {
+  if (turn_->budget_is_only_reserved()) {
     co_await answer(status_unavailable, ledger_retry,
                     "budget held by turns under way");
   } else if (verdict == records::turn_verdict::budget_spent) {
@@ -343,7 +345,7 @@
   } else if (verdict == records::turn_verdict::unknown_turn) {
     co_await answer(status_not_found, duration_ms{0}, "no such turn");
   } else if (gateway_.ledger().cut_off()) {
-    keep_open_ = false; // the next connection leads to another gateway
+    keep_open_ = false; // the next connection reaches another gateway
     co_await answer(status_unavailable, elsewhere_retry,
                     "this gateway is cut off from the record group");
   } else {
@@ -354,10 +356,10 @@
   co_return false;
 }
 
-asio::awaitable<bool> request_exchange::record_stays_home() {
+asio::awaitable<bool> request_exchange::check_storage_residency() {
   const auto outside = turn_->storage_outside_home();
   if (outside) {
-    note_home_refusal("storage_outside_home", outside->node, outside->region);
+    record_home_refusal("storage_outside_home", outside->node, outside->region);
     co_await answer(status_unavailable, home_retry, record_outside_reason);
   }
   co_return !outside;
@@ -368,12 +370,12 @@
   const std::uint64_t tokens_per_event = target != nullptr && target->engine
                                              ? target->engine->tokens_per_event
                                              : 1;
-  return events_passed_ * tokens_per_event;
+  return events_forwarded_ * tokens_per_event;
 }
 
 // Attempts.
 
-asio::awaitable<void> request_exchange::drive() {
+asio::awaitable<void> request_exchange::run_attempts() {
   plan_.emplace(route_->repeatable(), route_->max_attempts, request_.arrived,
                 deadline_, gateway_.options().plan);
   while (status_ == 0) {
@@ -393,18 +395,18 @@
     } else {
       const auto &send = std::get<send_step>(step);
       placement_ = gateway_.replicas().choose(service_, send, request_, home_);
-      if (const auto cause = gateway_.objection(request_, *route_)) {
-        co_await withdraw(*cause);
+      if (const auto cause = gateway_.recheck_admission(request_, *route_)) {
+        co_await refuse_before_send(*cause);
       } else if (placement_.target) {
         co_await attempt(placement_.target);
-      } else if (placement_.barred_by == routing::exclusion::warming_up) {
+      } else if (placement_.excluded_by == routing::exclusion::warming_up) {
         gateway_.metrics().on_slow_start_wait();
-        plan_->on_warming_up(placement_.free_at);
-      } else if (placement_.barred_by == routing::exclusion::outside_home) {
-        note_home_refusal(name_of(placement_.barred_by), {}, {});
-        plan_->on_barred(name_of(placement_.barred_by), home_retry);
-      } else if (placement_.barred_by != routing::exclusion::none) {
-        plan_->on_barred(name_of(placement_.barred_by), zone_drain_retry);
+        plan_->on_warming_up(placement_.next_admission);
+      } else if (placement_.excluded_by == routing::exclusion::outside_home) {
+        record_home_refusal(name_of(placement_.excluded_by), {}, {});
+        plan_->on_blocked(name_of(placement_.excluded_by), home_retry);
+      } else if (placement_.excluded_by != routing::exclusion::none) {
+        plan_->on_blocked(name_of(placement_.excluded_by), zone_drain_retry);
       } else {
         forget_ended(send);
         plan_->on_no_candidate();
@@ -439,18 +441,17 @@
     co_return;
   }
   active_ = connection.value();
-  if (!co_await has_permit()) {
+  if (!co_await await_permit()) {
     gateway_.pool().release(started, active_, duration_ms{0});
     active_.reset();
     --target->in_flight;
     co_return;
   }
   attempt_end end = attempt_outcome::not_sent;
-  // While the connection was made, what was true at the choice may have
-  // changed.
-  const auto objection = gateway_.objection(request_, *route_);
-  if (!objection && claim_send_to(*target)) {
-    const bool sends = !permit_ || permit_->use();
+  // The conditions of the selection may have changed while connecting.
+  const auto refusal = gateway_.recheck_admission(request_, *route_);
+  if (!refusal && claim_send_to(*target)) {
+    const bool sends = !permit_ || permit_->consume();
     if (sends) {
       end = co_await exchange_with(*target, active_);
     }
@@ -460,14 +461,14 @@
   active_.reset();
   --target->in_flight;
   if (permit_ && end == attempt_outcome::not_executed) {
-    permit_->give_back();
+    permit_->return_unused();
   }
   if (end) {
     gateway_.metrics().on_attempt(std::string(name_of(*end)));
     log_attempt(*target, *end, last_failure_);
     plan_->on_attempt(started, *end);
-    const bool own_doing = client_gone_ || steady_now() >= deadline_;
-    if (*end == attempt_outcome::lost && !own_doing) {
+    const bool ended_by_gateway = client_gone_ || steady_now() >= deadline_;
+    if (*end == attempt_outcome::lost && !ended_by_gateway) {
       gateway_.replicas().on_failed(*target, last_failure_);
     }
   } else {
@@ -477,7 +478,8 @@
 
 bool request_exchange::claim_send_to(routing::instance &target) {
   if (client_gone_ || steady_now() >= deadline_) {
-    last_failure_ = "its time was up before it was sent";
+    last_failure_ =
+        "the client disconnected or the deadline passed before it was sent";
     return false;
   }
   const auto cause = gateway_.replicas().claim_send(target, request_, home_);
@@ -488,9 +490,9 @@
   return true;
 }
 
-void request_exchange::note_home_refusal(std::string_view cause,
-                                         std::string_view node,
-                                         std::string_view region) const {
+void request_exchange::record_home_refusal(std::string_view cause,
+                                           std::string_view node,
+                                           std::string_view region) const {
   gateway_.metrics().on_refused(std::string(cause));
   logging::line(logging::event::outside_home_refused)
       .field("id", request_.attempt_id)
@@ -516,7 +518,7 @@
   gateway_.metrics().on_sent(std::string(last_locality_));
   sent_at_ = steady_now();
   if (!co_await send(target, *connection)) {
-    last_failure_ = "broke off while the request was sent";
+    last_failure_ = "the connection broke while the request was sent";
     co_return attempt_outcome::lost;
   }
   std::optional<response_parser> parser;
@@ -533,18 +535,18 @@
   head_at_ = steady_now();
   if (is_stream) {
     target.prefixes.record(request_.prompt);
-    const bool from_start = events_passed_ == 0;
+    const bool from_start = events_forwarded_ == 0;
     relayed_ = {};
     const attempt_end end = co_await relay_stream(*connection, *parser);
     if (!end) {
-      note_turn(target, from_start);
+      record_turn_timing(target, from_start);
       recycle(target, std::move(connection), head, parser->keep_alive());
     }
     co_return end;
   }
   std::string body;
   if (!co_await read_body(*connection, *parser, body)) {
-    last_failure_ = "the answer broke off";
+    last_failure_ = "the connection broke before the answer was complete";
     co_return attempt_outcome::lost;
   }
   recycle(target, std::move(connection), head, parser->keep_alive());
@@ -562,17 +564,18 @@
   const bool proven =
       !to_view(head[gateway_.options().headers.signature]).empty();
   if ((success && !proven) || head_sent_) {
-    // A stream that goes on elsewhere needs a stream there.
-    last_failure_ = "an answer that cannot be passed on";
+    // A resumed stream can only continue with a stream.
+    last_failure_ = "an unsigned answer, or no stream to resume from";
     co_return attempt_outcome::lost;
   }
   gateway_.replicas().on_answered(target, route_->name,
                                   milliseconds_since(sent_at_));
-  co_await pass_answer(head, std::move(body));
+  co_await forward_answer(head, std::move(body));
   co_return std::nullopt;
 }
 
-void request_exchange::note_turn(routing::instance &target, bool from_start) {
+void request_exchange::record_turn_timing(routing::instance &target,
+                                          bool from_start) {
   const auto events = static_cast<double>(relayed_.events);
   if (relayed_.events == 0) {
     return;
@@ -630,8 +633,8 @@
 }
 
 std::uint32_t request_exchange::engine_priority() const {
-  // Routes that are more urgent go first. A program that has missed its time
-  // earns little any more: it must not hold up those that can still keep
+  // More urgent routes have priority. A program that has missed its deadline
+  // gains little from being served and must not delay those that can still meet
   // theirs.
   constexpr std::uint32_t most_urgent = 2;
   constexpr std::uint32_t route_ranks = 3;
@@ -656,7 +659,7 @@
   if (!echoed.empty()) {
     return echoed == request_.attempt_id;
   }
-  // A refusal need not name the request that it turns down.
+  // A refusal may omit the id of the request that it refuses.
   return !to_view(head[names.not_executed]).empty() ||
          head.result_int() == status_misdirected || request_.attempt_id.empty();
 }
@@ -685,7 +688,7 @@
       break;
     }
   }
-  last_failure_ = "answers of other requests";
+  last_failure_ = "received only answers to other requests";
   co_return false;
 }
 
@@ -733,12 +736,12 @@
     const std::size_t filled = chunk.size() - parser.get().body().size;
     auto events = splitter.feed({chunk.data(), filled});
     relayed_.note(events.size(), steady_now());
-    if (!events.empty() && !co_await pass_on(std::move(events))) {
-      last_failure_ = "the client has gone";
+    if (!events.empty() && !co_await forward_events(std::move(events))) {
+      last_failure_ = "writing to the client failed";
       co_return attempt_outcome::lost;
     }
     if (failure && failure != beast_http::error::need_buffer) {
-      last_failure_ = "the stream broke off: " + failure.message();
+      last_failure_ = "the stream broke: " + failure.message();
       co_return attempt_outcome::lost;
     }
   }
@@ -747,7 +750,8 @@
     co_return attempt_outcome::lost;
   }
   if (!co_await finish_stream()) {
-    // The replica has done its part; only the client's end is missing.
+    // The replica's stream is complete; only the end of the client's is
+    // missing.
     keep_open_ = false;
   }
   status_ = status_ok;
@@ -755,7 +759,7 @@
 }
 
 asio::awaitable<bool>
-request_exchange::pass_on(std::vector<stream_event> events) {
+request_exchange::forward_events(std::vector<stream_event> events) {
   std::string fresh;
   for (stream_event &event : events) {
     const bool repeated =
@@ -770,12 +774,12 @@
       turn_->add_output(event.data);
     }
     fresh += event.bytes;
-    ++events_passed_;
+    ++events_forwarded_;
   }
   if (fresh.empty()) {
     co_return true;
   }
-  const bool first = events_passed_ == events.size();
+  const bool first = events_forwarded_ == events.size();
   const auto [failure, written] = co_await asio::async_write(
       client_, beast_http::make_chunk(asio::buffer(fresh)), as_result);
   if (first) {
@@ -823,7 +827,7 @@
                 gateway_.options().headers.credential_scheme);
   }
   message.body() = std::string(reason) + "\n";
-  keep_open_ = keep_open_ && !gateway_.sends_clients_on();
+  keep_open_ = keep_open_ && !gateway_.should_close_connections();
   message.keep_alive(keep_open_);
   message.prepare_payload();
   const auto [failure, written] =
@@ -844,8 +848,8 @@
   }
 }
 
-asio::awaitable<void> request_exchange::pass_answer(const response_head &head,
-                                                    std::string body) {
+asio::awaitable<void>
+request_exchange::forward_answer(const response_head &head, std::string body) {
   status_ = head.result_int();
   reason_ = answered_reason;
   if (client_gone_) {
@@ -853,7 +857,7 @@
   }
   beast_http::response<beast_http::string_body> message;
   copy_head(head, message);
-  keep_open_ = keep_open_ && !gateway_.sends_clients_on();
+  keep_open_ = keep_open_ && !gateway_.should_close_connections();
   message.keep_alive(keep_open_);
   message.body() = std::move(body);
   message.prepare_payload();
@@ -867,7 +871,7 @@
   head_sent_ = true;
   beast_http::response<beast_http::empty_body> message;
   copy_head(head, message);
-  keep_open_ = keep_open_ && !gateway_.sends_clients_on();
+  keep_open_ = keep_open_ && !gateway_.should_close_connections();
   message.keep_alive(keep_open_);
   message.chunked(true);
   beast_http::response_serializer<beast_http::empty_body> serializer(message);
@@ -877,7 +881,7 @@
   co_return !failure;
 }
 
-records::turn_place request_exchange::place_of_memory() const {
+records::turn_place request_exchange::engine_location() const {
   std::uint64_t tokens = used_tokens();
   for (const balance::prompt_part &part : request_.prompt) {
     tokens += part.tokens;
@@ -889,11 +893,11 @@
   const bool keeps = route_->retained && turn_ && turn_->granted();
   const auto outside = keeps ? turn_->storage_outside_home() : std::nullopt;
   if (outside) {
-    note_home_refusal("storage_outside_home", outside->node, outside->region);
+    record_home_refusal("storage_outside_home", outside->node, outside->region);
     reason_ = record_outside_reason;
     co_return false;
   }
-  if (keeps && !co_await turn_->keep(used_tokens(), place_of_memory())) {
+  if (keeps && !co_await turn_->record_end(used_tokens(), engine_location())) {
     reason_ = "the turn could not be recorded in time";
     co_return false;
   }
@@ -947,7 +951,7 @@
           to_view(request_.message[gateway_.options().headers.last_event_id]))
       .field("previous", request_.previous_turn)
       .field("status", status_)
-      .field("events", events_passed_)
+      .field("events", events_forwarded_)
       .field("missing_tokens", placement_.missing_tokens)
       .field("running", placement_.running)
       .field("reason", reason_)
--- a/src/forwarding/upstream_pool.cpp
+++ b/src/forwarding/upstream_pool.cpp
@@ -17,9 +17,9 @@
   while (!found->second.empty()) {
     connection_ptr candidate = std::move(found->second.back());
     found->second.pop_back();
-    // Bytes that wait here belong to no request: such a connection is spent.
+    // Unread bytes belong to no request, so such a connection is not reused.
     const bool usable =
-        now < candidate->usable_until && is_quiet(candidate->socket);
+        now < candidate->usable_until && is_open_and_idle(candidate->socket);
     if (usable) {
       candidate->reused = true;
       return candidate;
@@ -64,7 +64,7 @@
         ? connect_error::refused
         : connect_error::failed;
   }
-  make_live(connection->socket, options_.liveness);
+  enable_liveness_checks(connection->socket, options_.liveness);
   co_return track(start, std::move(connection));
 }
 
@@ -76,15 +76,15 @@
   return connection;
 }
 
-void upstream_pool::cut_off(const routing::incarnation &start) {
-  drop(start);
+void upstream_pool::close_all(const routing::incarnation &start) {
+  close_idle(start);
   const auto found = in_use_.find(start);
   if (found == in_use_.end()) {
     return;
   }
   for (const auto &each : found->second) {
     if (const connection_ptr connection = each.lock()) {
-      boost::system::error_code ignored; // it is gone either way
+      boost::system::error_code ignored; // it is unusable either way
       connection->socket.close(ignored);
     }
   }
--- a/src/http/call_client.cpp
+++ b/src/http/call_client.cpp
@@ -52,7 +52,7 @@
   while (!idle_.empty()) {
     connection_ptr candidate = std::move(idle_.back());
     idle_.pop_back();
-    if (forwarding::is_quiet(candidate->socket)) {
+    if (forwarding::is_open_and_idle(candidate->socket)) {
       return candidate;
     }
   }
@@ -67,7 +67,7 @@
   const auto [failure] = co_await over->socket.async_connect(
       tcp::endpoint(parsed.value().ip, parsed.value().port), as_result);
   if (!failure) {
-    forwarding::make_live(over->socket, {});
+    forwarding::enable_liveness_checks(over->socket, {});
   }
   co_return !failure;
 }
--- a/tests/forwarding/request_exchange_test.cpp
+++ b/tests/forwarding/request_exchange_test.cpp
@@ -1,5 +1,5 @@
-// Whole exchanges over loopback sockets: a client, the gateway, and replicas
-// that answer with scripted bytes.
+// Tests complete exchanges over loopback sockets between a client, the gateway
+// and replicas with scripted answers.
 #include "forwarding/client_session.hpp"
 #include "forwarding/gateway.hpp"
 #include "http/call_client.hpp"
@@ -34,65 +34,66 @@
   CPPUNIT_TEST(an_answer_is_passed_on_unchanged);
   CPPUNIT_TEST(fields_of_the_gateway_cannot_be_forged);
   CPPUNIT_TEST(an_answer_to_another_request_is_skipped);
-  CPPUNIT_TEST(a_success_without_signature_is_none);
+  CPPUNIT_TEST(a_success_without_signature_is_rejected);
   CPPUNIT_TEST(a_call_that_broke_off_is_not_sent_again);
   CPPUNIT_TEST(an_idempotent_request_is_sent_again);
   CPPUNIT_TEST(an_unframed_answer_ends_with_its_connection);
   CPPUNIT_TEST(an_unframed_answer_that_is_reset_is_not_whole);
   CPPUNIT_TEST(a_refused_request_goes_to_another_replica);
-  CPPUNIT_TEST(refused_by_all_it_is_told_when_to_come_back);
+  CPPUNIT_TEST(refusal_by_all_replicas_sets_retry_after);
   CPPUNIT_TEST(a_draining_replica_gets_nothing);
-  CPPUNIT_TEST(a_stream_goes_on_behind_its_last_whole_event);
+  CPPUNIT_TEST(a_stream_resumes_after_its_last_whole_event);
   CPPUNIT_TEST(a_stream_that_must_not_repeat_does_not_look_complete);
-  CPPUNIT_TEST(a_turn_is_kept_before_its_answer_ends);
+  CPPUNIT_TEST(a_turn_is_recorded_before_its_answer_ends);
   CPPUNIT_TEST(a_turn_that_cannot_be_recorded_does_not_look_complete);
-  CPPUNIT_TEST(a_turn_goes_on_where_its_conversation_is_kept);
-  CPPUNIT_TEST(the_record_of_a_turn_tells_where_it_was_answered);
-  CPPUNIT_TEST(a_place_that_is_gone_or_switched_off_binds_nothing);
-  CPPUNIT_TEST(a_place_on_an_earlier_start_binds_nothing);
-  CPPUNIT_TEST(loads_are_told_by_start);
-  CPPUNIT_TEST(a_call_on_an_ended_start_is_not_sent_to_the_new_one);
-  CPPUNIT_TEST(a_repeatable_request_on_an_ended_start_goes_to_the_new_one);
-  CPPUNIT_TEST(an_idle_connection_to_an_ended_start_is_not_used_again);
+  CPPUNIT_TEST(a_turn_goes_to_the_engine_that_caches_its_conversation);
+  CPPUNIT_TEST(the_record_of_a_turn_names_its_engine);
+  CPPUNIT_TEST(a_missing_or_disabled_location_is_ignored);
+  CPPUNIT_TEST(a_location_on_an_earlier_incarnation_is_ignored);
+  CPPUNIT_TEST(loads_are_reported_by_incarnation);
+  CPPUNIT_TEST(a_call_on_an_ended_incarnation_is_not_resent_to_the_new_one);
+  CPPUNIT_TEST(
+      a_repeatable_request_on_an_ended_incarnation_goes_to_the_new_one);
+  CPPUNIT_TEST(an_idle_connection_to_an_ended_incarnation_is_not_reused);
   CPPUNIT_TEST(a_rejected_entry_takes_its_replica_out_of_use);
-  CPPUNIT_TEST(a_rejected_entry_is_counted_until_it_is_sound);
-  CPPUNIT_TEST(a_busy_engine_is_left_to_others);
+  CPPUNIT_TEST(a_rejected_entry_is_counted_until_it_is_valid);
+  CPPUNIT_TEST(an_engine_that_peers_report_busy_is_avoided);
   CPPUNIT_TEST(a_gateway_that_is_cut_off_sends_turns_elsewhere);
   CPPUNIT_TEST(urgent_routes_go_first_and_late_programs_last);
-  CPPUNIT_TEST(a_spent_budget_runs_nothing);
+  CPPUNIT_TEST(a_request_with_a_spent_budget_is_not_sent);
   CPPUNIT_TEST(a_budget_that_is_only_reserved_is_waited_for);
   CPPUNIT_TEST(a_budget_that_stays_reserved_is_not_called_spent);
   CPPUNIT_TEST(a_gateway_that_leaves_refuses_new_requests);
-  CPPUNIT_TEST(without_routes_nothing_is_denied);
+  CPPUNIT_TEST(without_routes_the_answer_is_503_not_404);
   CPPUNIT_TEST(a_replica_gets_the_tenant_and_not_the_key);
   CPPUNIT_TEST(a_forged_tenant_is_replaced_on_every_attempt);
   CPPUNIT_TEST(a_missing_or_unknown_key_is_unauthorized);
   CPPUNIT_TEST(an_open_route_needs_no_key);
   CPPUNIT_TEST(without_tenants_nobody_needs_a_key);
   CPPUNIT_TEST(an_unconfirmed_configuration_admits_nobody);
-  CPPUNIT_TEST(a_key_taken_away_while_the_request_waits_runs_nothing);
-  CPPUNIT_TEST(a_key_taken_away_while_a_connection_is_made_runs_nothing);
-  CPPUNIT_TEST(a_zone_drained_while_a_connection_is_made_gets_nothing);
+  CPPUNIT_TEST(a_key_revoked_while_the_request_waits_prevents_sending);
+  CPPUNIT_TEST(a_key_revoked_while_connecting_prevents_sending);
+  CPPUNIT_TEST(a_zone_drained_while_connecting_gets_nothing);
   CPPUNIT_TEST(a_request_that_no_replica_may_serve_is_refused_at_once);
-  CPPUNIT_TEST(others_do_not_count_where_one_replica_alone_may_serve);
+  CPPUNIT_TEST(the_common_exclusion_covers_only_allowed_replicas);
   CPPUNIT_TEST(requests_at_a_replica_that_left_count_for_its_zone);
   CPPUNIT_TEST(a_gateway_that_does_not_know_the_drains_sends_nothing);
-  CPPUNIT_TEST(a_stream_that_breaks_off_does_not_go_on_in_a_drained_zone);
+  CPPUNIT_TEST(a_broken_stream_does_not_resume_in_a_drained_zone);
   CPPUNIT_TEST(a_cold_replica_gets_nothing_without_an_admission);
   CPPUNIT_TEST(with_cold_replicas_only_a_request_is_refused_at_once);
-  CPPUNIT_TEST(a_replica_that_turns_cold_while_a_connection_is_made);
-  CPPUNIT_TEST(without_limits_a_cold_replica_is_one_like_others);
+  CPPUNIT_TEST(a_replica_that_turns_cold_while_connecting_gets_nothing);
+  CPPUNIT_TEST(without_limits_a_cold_replica_is_treated_as_warm);
   CPPUNIT_TEST(
-      a_gateway_that_loses_its_proof_while_a_request_waits_runs_nothing);
-  CPPUNIT_TEST(what_one_tenant_keeps_does_not_exist_for_another);
-  CPPUNIT_TEST(a_tenant_over_its_quota_is_told_when_to_come_back);
+      a_configuration_that_expires_while_a_request_waits_prevents_sending);
+  CPPUNIT_TEST(turns_of_one_tenant_are_invisible_to_another);
+  CPPUNIT_TEST(a_tenant_over_its_quota_gets_retry_after);
   CPPUNIT_TEST(each_attempt_counts_against_the_quota);
-  CPPUNIT_TEST(a_tenant_without_quota_asks_for_no_permit);
-  CPPUNIT_TEST(a_quota_that_nobody_answers_for_runs_nothing);
-  CPPUNIT_TEST(a_void_permit_is_asked_for_again);
-  CPPUNIT_TEST(an_attempt_that_was_turned_down_keeps_its_permit);
+  CPPUNIT_TEST(a_tenant_without_quota_needs_no_permit);
+  CPPUNIT_TEST(a_request_without_an_available_permit_is_refused);
+  CPPUNIT_TEST(an_expired_permit_is_requested_again);
+  CPPUNIT_TEST(a_refused_attempt_keeps_its_permit);
   CPPUNIT_TEST(without_a_second_permit_there_is_no_second_attempt);
-  CPPUNIT_TEST(the_priority_of_a_tenant_goes_first);
+  CPPUNIT_TEST(the_tenant_priority_overrides_the_route_priority);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr balance::slow_start_limits slow_start_limits{
@@ -120,8 +121,8 @@
     return made;
   }
 
-  /// Clients reach another gateway from now on; what the one before has begun
-  /// to accept ends with the test.
+  /// Replaces the gateway that clients reach. The previous one is kept until
+  /// the end of the test, because its accept loop refers to it.
   void serve_with(const gateway_options &options) {
     first_gateway_ = std::move(gateway_);
     first_clients_ = std::move(clients_);
@@ -136,7 +137,7 @@
     options.selection.places = routing::topology("z");
     options.selection.slow_start = limits;
     options.headers = test_names();
-    options.plan.patience = 0.02;
+    options.plan.wait_fraction = 0.02;
     serve_with(options);
     apply_routes();
   }
@@ -155,14 +156,14 @@
     return gateway_->replicas().directory().find(routing::instance_id{id});
   }
 
-  /// The replica's process ends and another one starts under its id.
-  void start_again(const std::string &id, std::uint64_t born_ms) {
+  /// Registers a new incarnation of the replica under the same id.
+  void restart_replica(const std::string &id, std::uint64_t born_ms) {
     routing::instance_record record = listed(id)->record;
     record.born_ms = born_ms;
     gateway_->replicas().put(record);
   }
 
-  /// Its entry is written again and tells that it is cold for so long.
+  /// Rewrites the replica's entry with a remaining warm-up time.
   void turn_cold(const std::string &id, duration_ms span) {
     const routing::instance_id which{id};
     routing::instance_record record =
@@ -209,7 +210,7 @@
     return {value.data(), value.size()};
   }
 
-  /// Requests that count against the quotas of tenants.
+  /// The number of requests counted against the quotas of tenants.
   [[nodiscard]] std::size_t counted_requests() const {
     return static_cast<std::size_t>(ledger_.permits_asked);
   }
@@ -247,7 +248,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("own"), ask("/call/x")->body());
   }
 
-  void a_success_without_signature_is_none() {
+  void a_success_without_signature_is_rejected() {
     replicas_[0]->script.push_back(
         {"HTTP/1.1 200 OK\r\nAttempt: {id}\r\nContent-Length: 2\r\n\r\nno"});
     CPPUNIT_ASSERT_EQUAL(502U, ask("/call/x")->result_int());
@@ -273,7 +274,7 @@
       replica->script.push_back({.bytes = "HTTP/1.1 20", .close = true});
       replica->script.push_back({plain("hello")});
     }
-    // One replica fails, the other one fails too, and one of them succeeds.
+    // Both replicas fail once, then one of them succeeds.
     const auto answer = ask("/get/x");
     CPPUNIT_ASSERT_EQUAL(200U, answer->result_int());
   }
@@ -302,7 +303,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, answer->result_int());
   }
 
-  void refused_by_all_it_is_told_when_to_come_back() {
+  void refusal_by_all_replicas_sets_retry_after() {
     for (int time = 0; time < 100; ++time) {
       replicas_[0]->script.push_back({refusal});
     }
@@ -320,12 +321,12 @@
     CPPUNIT_ASSERT(replicas_[1]->received.empty());
   }
 
-  void a_stream_goes_on_behind_its_last_whole_event() {
+  void a_stream_resumes_after_its_last_whole_event() {
     replicas_[0]->script.push_back({.bytes = stream_head + chunk(event(1)) +
                                              chunk(event(2)) +
                                              chunk("id: 3\nda"),
                                     .close = true});
-    // It repeats one that the client has already.
+    // The resumed stream repeats an event that the client already has.
     replicas_[0]->script.push_back({stream_head + chunk(event(2)) +
                                     chunk(event(3)) + chunk(event(4)) +
                                     stream_end});
@@ -343,7 +344,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[0]->received.size());
   }
 
-  void a_turn_is_kept_before_its_answer_ends() {
+  void a_turn_is_recorded_before_its_answer_ends() {
     replicas_[0]->script.push_back(
         {stream_head + chunk(event(1)) + chunk(event(2)) + stream_end});
     const auto answer = ask(
@@ -366,7 +367,7 @@
              .has_value());
   }
 
-  /// Turns of which each names its prompt of 5,000 tokens.
+  /// Sends turns that declare a prompt of 5,000 tokens.
   void ask_turns(int count) {
     for (int turn = 0; turn < count; ++turn) {
       const auto answer = ask("/kept/x", {{"Parts", "a:2000,b:3000"},
@@ -386,8 +387,8 @@
     }
   }
 
-  void a_turn_goes_on_where_its_conversation_is_kept() {
-    // This gateway has never seen the conversation.
+  void a_turn_goes_to_the_engine_that_caches_its_conversation() {
+    // The gateway has no cached view of the conversation.
     add_replica("r2");
     add_replica("r3");
     script_turns(1);
@@ -396,7 +397,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[1]->received.size());
   }
 
-  void the_record_of_a_turn_tells_where_it_was_answered() {
+  void the_record_of_a_turn_names_its_engine() {
     script_turns(1);
     ask_turns(1);
     const records::turn_place &place = ledger_.ends.at(0).kept.place;
@@ -405,14 +406,14 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5005}, place.tokens);
   }
 
-  void a_place_that_is_gone_or_switched_off_binds_nothing() {
+  void a_missing_or_disabled_location_is_ignored() {
     script_turns(2);
     ledger_.previous_place = {.instance = "gone", .tokens = 4500};
     ask_turns(1);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[0]->received.size());
     const balance::prompt_part part{.id = 0xa, .tokens = 2000};
-    gateway_->replicas().learn_place({.instance = "r1", .tokens = 100},
-                                     routing::service_id{"s"}, {part});
+    gateway_->replicas().learn_prefix_location(
+        {.instance = "r1", .tokens = 100}, routing::service_id{"s"}, {part});
     const auto &known =
         gateway_->replicas().directory().replicas_of(routing::service_id{"s"});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
@@ -421,8 +422,8 @@
     options.selection.policies.turn_places = false;
     gateway without(io_, options, ledger_);
     without.replicas().put(known.at(0)->record);
-    without.replicas().learn_place({.instance = "r1", .tokens = 2000},
-                                   routing::service_id{"s"}, {part});
+    without.replicas().learn_prefix_location({.instance = "r1", .tokens = 2000},
+                                             routing::service_id{"s"}, {part});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000},
                          without.replicas()
                              .directory()
@@ -431,17 +432,18 @@
                              ->prefixes.missing_tokens({part}));
   }
 
-  void a_place_on_an_earlier_start_binds_nothing() {
+  void a_location_on_an_earlier_incarnation_is_ignored() {
     const balance::prompt_part part{.id = 0xa, .tokens = 2000};
     const auto missing_after = [&](const std::string &place) {
-      start_again("r1", ++born_ms_);
-      gateway_->replicas().learn_place({.instance = place, .tokens = 2000},
-                                       routing::service_id{"s"}, {part});
+      restart_replica("r1", ++born_ms_);
+      gateway_->replicas().learn_prefix_location(
+          {.instance = place, .tokens = 2000}, routing::service_id{"s"},
+          {part});
       return listed("r1")->prefixes.missing_tokens({part});
     };
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, missing_after("r1@100"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, missing_after("r1@102"));
-    // Of a gateway that did not tell starts apart.
+    // A record that names the id without the incarnation.
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, missing_after("r1"));
     script_turns(1);
     ask_turns(1);
@@ -449,22 +451,22 @@
                          ledger_.ends.at(0).kept.place.instance);
   }
 
-  void loads_are_told_by_start() {
-    start_again("r1", 100);
+  void loads_are_reported_by_incarnation() {
+    restart_replica("r1", 100);
     script_turns(1);
-    ask_turns(1); // now it is known for an engine
+    ask_turns(1); // makes the selector treat it as an engine
     listed("r1")->in_flight = 3;
     wire::SharedLoads shared;
     *shared.mutable_others() = gateway_->replicas().engine_loads();
-    gateway_->replicas().take_shared_loads(shared);
+    gateway_->replicas().apply_shared_loads(shared);
     CPPUNIT_ASSERT_EQUAL(3.0, listed("r1")->others.running);
-    start_again("r1", 200);
-    gateway_->replicas().take_shared_loads(shared);
+    restart_replica("r1", 200);
+    gateway_->replicas().apply_shared_loads(shared);
     CPPUNIT_ASSERT_EQUAL(0.0, listed("r1")->others.running);
   }
 
-  /// Lets r1 start again while it has a request.
-  void start_again_during_the_request() {
+  /// Restarts r1 while it has a request.
+  void restart_during_request() {
     asio::co_spawn(
         io_,
         [this]() -> asio::awaitable<void> {
@@ -473,39 +475,39 @@
             timer.expires_after(duration_ms{1});
             co_await timer.async_wait(as_result);
           }
-          start_again("r1", 200);
+          restart_replica("r1", 200);
         },
         asio::detached);
   }
 
-  void a_call_on_an_ended_start_is_not_sent_to_the_new_one() {
-    // The replica's machine went silently: nothing but the entry of its new
-    // start tells that the call will not be answered.
-    start_again("r1", 100);
+  void a_call_on_an_ended_incarnation_is_not_resent_to_the_new_one() {
+    // The replica's machine fails without closing the connection; only the
+    // entry of its next incarnation shows that the call will not be answered.
+    restart_replica("r1", 100);
     replicas_[0]->script.push_back({.bytes = ""});
-    start_again_during_the_request();
+    restart_during_request();
     const timestamp asked = steady_now();
     CPPUNIT_ASSERT_EQUAL(502U, ask("/call/x")->result_int());
     CPPUNIT_ASSERT(steady_now() - asked < duration_ms{2500});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[0]->received.size());
   }
 
-  void a_repeatable_request_on_an_ended_start_goes_to_the_new_one() {
-    start_again("r1", 100);
+  void a_repeatable_request_on_an_ended_incarnation_goes_to_the_new_one() {
+    restart_replica("r1", 100);
     replicas_[0]->script.push_back({.bytes = ""});
     replicas_[0]->script.push_back({plain("hello")});
-    start_again_during_the_request();
+    restart_during_request();
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), ask("/get/x")->body());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, replicas_[0]->received.size());
   }
 
-  void an_idle_connection_to_an_ended_start_is_not_used_again() {
-    start_again("r1", 100);
+  void an_idle_connection_to_an_ended_incarnation_is_not_reused() {
+    restart_replica("r1", 100);
     replicas_[0]->script.push_back({plain("hello")});
     ask("/call/x");
     CPPUNIT_ASSERT(
         gateway_->pool().has_idle(listed("r1")->record.start(), steady_now()));
-    start_again("r1", 200);
+    restart_replica("r1", 200);
     replicas_[0]->script.push_back({plain("hello")});
     ask("/call/x");
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, gateway_->pool().opened());
@@ -519,7 +521,7 @@
     CPPUNIT_ASSERT(listed("r1") == nullptr);
   }
 
-  void a_rejected_entry_is_counted_until_it_is_sound() {
+  void a_rejected_entry_is_counted_until_it_is_valid() {
     const auto sound = listed("r1")->record;
     const std::vector<routing::rejected_entry> odd{{"x", "no zone"}};
     gateway_->replicas().replace_all({sound}, odd);
@@ -532,8 +534,8 @@
                          gateway_->replicas().rejected_entries());
   }
 
-  void a_busy_engine_is_left_to_others() {
-    // Other gateways tell of many requests at two of three engines.
+  void an_engine_that_peers_report_busy_is_avoided() {
+    // Other gateways report many requests at two of three engines.
     add_replica("r2");
     add_replica("r3");
     script_turns(1);
@@ -544,7 +546,7 @@
           static_cast<std::uint32_t>(stable_hash(std::string_view(busy))));
       shared.mutable_others()->add_running(40);
     }
-    gateway_->replicas().take_shared_loads(shared);
+    gateway_->replicas().apply_shared_loads(shared);
     ask_turns(1);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replicas_[2]->received.size());
   }
@@ -560,7 +562,7 @@
                          field_of(*refused, "Retry-After"));
     CPPUNIT_ASSERT(!refused->keep_alive());
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
-    // What needs no grant is served here, and the next request elsewhere.
+    // A request that needs no grant is served, but its connection is closed.
     replicas_[0]->script.push_back({plain("hello")});
     const auto served = ask("/call/x");
     CPPUNIT_ASSERT_EQUAL(200U, served->result_int());
@@ -581,7 +583,7 @@
     CPPUNIT_ASSERT(rank(1) < rank(2));
   }
 
-  void a_spent_budget_runs_nothing() {
+  void a_request_with_a_spent_budget_is_not_sent() {
     ledger_.verdict = records::turn_verdict::budget_spent;
     const auto answer = ask("/stream/x", {{"Program", "p"}, {"Budget", "1"}});
     CPPUNIT_ASSERT_EQUAL(402U, answer->result_int());
@@ -590,7 +592,8 @@
   }
 
   void a_budget_that_is_only_reserved_is_waited_for() {
-    // Tries that never ran hold reservations until their end is recorded.
+    // Attempts that were not executed hold reservations until their end is
+    // recorded.
     ledger_.refused_for_reservations = 2;
     replicas_[0]->script = {
         {stream_head + chunk(event(1)) + stream_end, false, false}};
@@ -606,7 +609,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
-    // Once what is settled alone exceeds the budget, waiting is of no use.
+    // Waiting does not help once the settled tokens alone exceed the budget.
     ledger_.spent = 10;
     CPPUNIT_ASSERT_EQUAL(
         402U,
@@ -623,7 +626,7 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  void without_routes_nothing_is_denied() {
+  void without_routes_the_answer_is_503_not_404() {
     CPPUNIT_ASSERT_EQUAL(404U, ask("/nowhere/")->result_int());
     gateway fresh(io_, gateway_->options(), ledger_);
     const auto known = std::move(clients_);
@@ -631,7 +634,7 @@
         std::move(http::listen(io_, "127.0.0.1:0")).value());
     asio::co_spawn(io_, accept_clients(fresh, *clients_), asio::detached);
     CPPUNIT_ASSERT_EQUAL(503U, ask("/nowhere/")->result_int());
-    // The session still refers to the gateway: let it see its client's end.
+    // The session refers to the gateway, so wait until the session ends.
     while (!fresh.idle()) {
       io_.run_one();
     }
@@ -645,13 +648,14 @@
     return made;
   }
 
-  /// Two tenants, "a" and "b", with the keys "ka" and "kb".
+  /// Applies a configuration with the tenants "a" and "b" and the keys "ka" and
+  /// "kb".
   void apply_tenants() {
     apply_routes(2, {holder("a", "ka"), holder("b", "kb")});
   }
 
-  /// A gateway that has to prove how old its configuration is.
-  void demand_proof(duration_ms revocation) {
+  /// Starts a gateway whose configuration must have been confirmed recently.
+  void require_fresh_configuration(duration_ms revocation) {
     gateway_options options;
     options.selection.places = routing::topology("z");
     options.headers = test_names();
@@ -721,13 +725,14 @@
   }
 
   void an_unconfirmed_configuration_admits_nobody() {
-    demand_proof(duration_ms{5000});
+    require_fresh_configuration(duration_ms{5000});
     CPPUNIT_ASSERT(!gateway_->ready());
     const auto answer = ask("/call/x", {{"Credential", "Key ka"}});
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
     CPPUNIT_ASSERT(!answer->keep_alive());
-    // Nor can it know that a key is unknown.
+    // With a stale configuration an unknown key is not rejected as unknown
+    // either.
     CPPUNIT_ASSERT_EQUAL(
         503U, ask("/call/x", {{"Credential", "Key kc"}})->result_int());
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
@@ -739,7 +744,7 @@
         200U, ask("/call/x", {{"Credential", "Key ka"}})->result_int());
   }
 
-  void a_key_taken_away_while_the_request_waits_runs_nothing() {
+  void a_key_revoked_while_the_request_waits_prevents_sending() {
     apply_tenants();
     ledger_.before_grant = [this] { apply_routes(3, {holder("b", "kb")}); };
     const auto answer =
@@ -749,8 +754,8 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  /// A replica of whose queue of new connections nothing is taken until
-  /// `release`, so that the next connection to it is under way for a second.
+  /// A replica with a full accept queue. A connection to it completes only when
+  /// the client retransmits after `release`, about a second later.
   class busy_listener {
   public:
     explicit busy_listener(asio::io_context &io)
@@ -774,9 +779,10 @@
     std::vector<tcp::socket> fillers_;
   };
 
-  /// Asks while the only replica's connection is slow to come up.
-  /// @param meanwhile runs before it does.
-  /// @return the answer, and whether the replica got a byte.
+  /// Sends a request while the connection to the only replica is slow to
+  /// complete.
+  /// @param meanwhile is called before it completes.
+  /// @return the status, and whether the replica received a byte.
   std::pair<std::uint32_t, bool>
   ask_over_slow_connection(const std::map<std::string, std::string> &fields,
                            const std::function<void()> &meanwhile) {
@@ -801,7 +807,7 @@
     return {answer ? answer->result_int() : 0, sent};
   }
 
-  void a_key_taken_away_while_a_connection_is_made_runs_nothing() {
+  void a_key_revoked_while_connecting_prevents_sending() {
     const auto [status, sent] = ask_over_slow_connection(
         {{"Credential", "Key ka"}, {"Deadline", "3000"}},
         [this] { apply_routes(3, {holder("b", "kb")}); });
@@ -809,7 +815,7 @@
     CPPUNIT_ASSERT_EQUAL(401U, status);
   }
 
-  void a_zone_drained_while_a_connection_is_made_gets_nothing() {
+  void a_zone_drained_while_connecting_gets_nothing() {
     const auto [status, sent] = ask_over_slow_connection(
         {{"Credential", "Key ka"}, {"Deadline", "3000"}},
         [this] { gateway_->replicas().drains().put("z", steady_now()); });
@@ -817,7 +823,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, status);
   }
 
-  void others_do_not_count_where_one_replica_alone_may_serve() {
+  void the_common_exclusion_covers_only_allowed_replicas() {
     routing::instance_record elsewhere = listed("r1")->record;
     elsewhere.id = routing::instance_id{"r2"};
     elsewhere.zone = "y";
@@ -831,7 +837,7 @@
         routing::service_id{"s"}, {.only = {listed("r1")->record.start()}},
         request, {});
     CPPUNIT_ASSERT(only.target == nullptr);
-    CPPUNIT_ASSERT(only.barred_by == routing::exclusion::zone_drained);
+    CPPUNIT_ASSERT(only.excluded_by == routing::exclusion::zone_drained);
   }
 
   void requests_at_a_replica_that_left_count_for_its_zone() {
@@ -850,7 +856,7 @@
     const auto answer = ask("/get/x", {{"Deadline", "10000"}});
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
-    // Without the cause it waits 0.02 of ten seconds for a place.
+    // Without the exclusion the request would wait 0.02 of ten seconds.
     CPPUNIT_ASSERT(steady_now() - began < duration_ms{150});
     for (const auto &replica : replicas_) {
       CPPUNIT_ASSERT(replica->received.empty());
@@ -862,10 +868,10 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  /// Starts another gateway, for which zones may be drained.
+  /// Starts a gateway whose zones may be drained.
   void start_with_zone_drains() {
     gateway_options options = gateway_->options();
-    // Long enough that no conversation leaves by itself during a test.
+    // Long enough that no conversation leaves the zone during a test.
     options.selection.zone_drain = duration_ms{600000};
     serve_with(options);
     apply_routes();
@@ -885,12 +891,12 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  void a_stream_that_breaks_off_does_not_go_on_in_a_drained_zone() {
+  void a_broken_stream_does_not_resume_in_a_drained_zone() {
     start_with_zone_drains();
     routing::zone_drains &drains = gateway_->replicas().drains();
     drains.set_known();
     drains.confirm(steady_now());
-    // The zone's conversations have time to leave; this one has not left.
+    // The drain has just begun, so this conversation may still use the zone.
     drains.put("z", steady_now());
     replicas_[0]->script.push_back(
         {.bytes = stream_head + chunk(event(1)), .close = true});
@@ -921,7 +927,7 @@
     const auto answer = ask("/get/x", {{"Deadline", "10000"}});
     CPPUNIT_ASSERT_EQUAL(503U, answer->result_int());
     CPPUNIT_ASSERT(!field_of(*answer, "Retry-After").empty());
-    // Without the cause it waits 0.02 of ten seconds for a place.
+    // Without the exclusion the request would wait 0.02 of ten seconds.
     CPPUNIT_ASSERT(steady_now() - began < duration_ms{150});
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
     turn_cold("r1", duration_ms{0});
@@ -929,7 +935,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  void a_replica_that_turns_cold_while_a_connection_is_made() {
+  void a_replica_that_turns_cold_while_connecting_gets_nothing() {
     const auto [status, sent] = ask_over_slow_connection(
         {{"Credential", "Key ka"}, {"Deadline", "3000"}},
         [this] { turn_cold("slow", duration_ms{10000}); });
@@ -937,7 +943,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, status);
   }
 
-  void without_limits_a_cold_replica_is_one_like_others() {
+  void without_limits_a_cold_replica_is_treated_as_warm() {
     start_gateway({});
     add_replica("r2");
     turn_cold("r2", duration_ms{10000});
@@ -945,11 +951,11 @@
     CPPUNIT_ASSERT_EQUAL(200U, ask("/get/x")->result_int());
   }
 
-  void a_gateway_that_loses_its_proof_while_a_request_waits_runs_nothing() {
+  void a_configuration_that_expires_while_a_request_waits_prevents_sending() {
     constexpr duration_ms left{50};
-    demand_proof(tenants::revocation_margin + left);
+    require_fresh_configuration(tenants::revocation_margin + left);
     gateway_->confirm_configuration(steady_now());
-    // The process is held up while the grant is under way.
+    // The process stalls while the grant is pending.
     ledger_.before_grant = [left] { std::this_thread::sleep_for(2 * left); };
     const auto answer =
         ask("/stream/x",
@@ -958,7 +964,7 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  void what_one_tenant_keeps_does_not_exist_for_another() {
+  void turns_of_one_tenant_are_invisible_to_another() {
     apply_tenants();
     for (int turn = 0; turn < 2; ++turn) {
       replicas_[0]->script.push_back(
@@ -982,7 +988,7 @@
                          ledger_.requests.back().previous);
   }
 
-  void a_tenant_over_its_quota_is_told_when_to_come_back() {
+  void a_tenant_over_its_quota_gets_retry_after() {
     tenants::tenant small = holder("a", "ka");
     small.quota = {.rate_per_second = 0.01, .burst = 4};
     apply_routes(2, {small, holder("b", "kb")});
@@ -1000,8 +1006,7 @@
         200U, ask("/call/x", {{"Credential", "Key kb"}})->result_int());
   }
 
-  /// A request was counted once, when it came: of one that broke off at one
-  /// replica and was sent to another, the second attempt counted for nobody.
+  /// Guards against counting only the first of several attempts at a request.
   void each_attempt_counts_against_the_quota() {
     add_replica("r2");
     tenants::tenant small = holder("a", "ka");
@@ -1018,14 +1023,14 @@
     CPPUNIT_ASSERT_EQUAL(sent, counted_requests());
   }
 
-  /// One tenant that may send a hundred requests a second.
+  /// Applies a configuration with one tenant limited to 100 requests a second.
   void serve_one_tenant() {
     tenants::tenant one = holder("a", "ka");
     one.quota = {.rate_per_second = 100, .burst = 100};
     apply_routes(2, {one});
   }
 
-  void a_tenant_without_quota_asks_for_no_permit() {
+  void a_tenant_without_quota_needs_no_permit() {
     apply_routes(2, {holder("a", "ka")});
     replicas_[0]->script.push_back({plain("hello")});
     CPPUNIT_ASSERT_EQUAL(
@@ -1033,7 +1038,7 @@
     CPPUNIT_ASSERT_EQUAL(0, ledger_.permits_asked);
   }
 
-  void a_quota_that_nobody_answers_for_runs_nothing() {
+  void a_request_without_an_available_permit_is_refused() {
     serve_one_tenant();
     ledger_.no_permits = true;
     const auto answer = ask("/call/x", {{"Credential", "Key ka"}});
@@ -1042,7 +1047,7 @@
     CPPUNIT_ASSERT(replicas_[0]->received.empty());
   }
 
-  void a_void_permit_is_asked_for_again() {
+  void an_expired_permit_is_requested_again() {
     serve_one_tenant();
     ledger_.void_permits = 1;
     replicas_[0]->script.push_back({plain("hello")});
@@ -1051,7 +1056,7 @@
     CPPUNIT_ASSERT_EQUAL(2, ledger_.permits_asked);
   }
 
-  void an_attempt_that_was_turned_down_keeps_its_permit() {
+  void a_refused_attempt_keeps_its_permit() {
     serve_one_tenant();
     replicas_[0]->script.assign({{refusal}, {plain("hello")}});
     CPPUNIT_ASSERT_EQUAL(
@@ -1075,7 +1080,7 @@
                                              replicas_[1]->received.size());
   }
 
-  void the_priority_of_a_tenant_goes_first() {
+  void the_tenant_priority_overrides_the_route_priority() {
     tenants::tenant urgent = holder("a", "ka");
     urgent.priority = 0;
     apply_routes(2, {urgent, holder("b", "kb")});
