--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -164,8 +164,8 @@
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.configuration_kind,
-          .wanted = not_relayed,
-          .others_ask_in_vain = relays_in_vain,
+          .enabled = not_relayed,
+          .store_down_for_others = relays_in_vain,
           .confirm_interval =
               2 * objects::confirm_interval(settings_.key_revocation)},
       configuration_handlers());
@@ -173,9 +173,10 @@
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.instance_kind,
-          .least_interval = objects::instance_interval(settings_.drain_notice),
-          .wanted = not_relayed,
-          .others_ask_in_vain = relays_in_vain},
+          .min_poll_interval =
+              objects::instance_poll_interval(settings_.drain_notice),
+          .enabled = not_relayed,
+          .store_down_for_others = relays_in_vain},
       instance_handlers());
   follower_.add(binding.configuration_kind, *configuration_watch_);
   follower_.add(binding.instance_kind, *instance_watch_);
@@ -186,9 +187,9 @@
             .kind = binding.zone_drain_kind,
             // An answer that is lost is noticed within the limit. More proof
             // is not asked for: while the store is away every gateway would.
-            .wait = settings_.zone_drain / 2,
-            .wanted = not_relayed,
-            .others_ask_in_vain = relays_in_vain},
+            .long_poll_timeout = settings_.zone_drain / 2,
+            .enabled = not_relayed,
+            .store_down_for_others = relays_in_vain},
         drain_monitor_.handlers());
     follower_.add(binding.zone_drain_kind, *drain_watch_);
   }
@@ -221,10 +222,10 @@
   options.address = advertised_rpc(settings_);
   options.seen = [this] {
     wire::SeenRevisions seen;
-    seen.set_configuration(configuration_watch_->newest_change());
-    seen.set_instances(instance_watch_->newest_change());
+    seen.set_configuration(configuration_watch_->newest_object_revision());
+    seen.set_instances(instance_watch_->newest_object_revision());
     if (drain_watch_) {
-      seen.set_zone_drains(drain_watch_->newest_change());
+      seen.set_zone_drains(drain_watch_->newest_object_revision());
     }
     return seen;
   };
@@ -369,12 +370,13 @@
   for (objects::object_watch *watch :
        {&*configuration_watch_, &*instance_watch_}) {
     asio::co_spawn(io_, watch->run(), asio::detached);
-    asio::co_spawn(io_, watch->follow_hints(), asio::detached);
+    asio::co_spawn(io_, watch->relist_when_behind(), asio::detached);
   }
-  asio::co_spawn(io_, configuration_watch_->confirm(), asio::detached);
+  asio::co_spawn(io_, configuration_watch_->confirm_periodically(),
+                 asio::detached);
   if (drain_watch_) {
     asio::co_spawn(io_, drain_watch_->run(), asio::detached);
-    asio::co_spawn(io_, drain_watch_->follow_hints(), asio::detached);
+    asio::co_spawn(io_, drain_watch_->relist_when_behind(), asio::detached);
   }
   asio::co_spawn(io_, follower_.run(), asio::detached);
   asio::co_spawn(io_, find_record_group(), asio::detached);
--- a/src/objects/object_follower.cpp
+++ b/src/objects/object_follower.cpp
@@ -94,7 +94,7 @@
     kind.set_kind(each.kind);
     kind.set_known(each.watch->known());
     kind.set_revision(each.watch->revision());
-    kind.set_hinted(each.watch->hinted());
+    kind.set_hinted(each.watch->hinted_revision());
   }
   send_(relay_, envelope);
 }
@@ -108,7 +108,7 @@
   for (const wire::CopiedKind &copied : copies.kinds()) {
     if (object_watch *watch = watch_of(copied.kind())) {
       take(copied, *watch);
-      take_confirmation(copies, copied, *watch);
+      record_confirmation(copies, copied, *watch);
     }
     all_current = all_current && copied.current();
   }
@@ -144,17 +144,17 @@
     }
   }
   if (copied.whole()) {
-    watch.take_listing(listed);
+    watch.apply_listing(listed);
   } else if (!changes.changes.empty()) {
-    watch.take_changes(changes, copied.since());
+    watch.apply_changes(changes, copied.since());
   } else {
-    watch.take_unchanged(copied.since(), copied.revision());
+    watch.apply_unchanged(copied.since(), copied.revision());
   }
 }
 
-void object_follower::take_confirmation(const wire::ObjectCopies &copies,
-                                        const wire::CopiedKind &copied,
-                                        object_watch &watch) {
+void object_follower::record_confirmation(const wire::ObjectCopies &copies,
+                                          const wire::CopiedKind &copied,
+                                          object_watch &watch) {
   const bool answers =
       copies.heartbeat_sent_ms() > 0 && copied.confirmed_age_ms() > 0;
   const bool has_everything = copied.revision() <= watch.revision();
@@ -163,8 +163,8 @@
   }
   // The relay told the age when the heartbeat had reached it: counted from when
   // that was sent, no time on the way or in a queue makes the copy younger.
-  watch.take_confirmation(timestamp_from(copies.heartbeat_sent_ms()) -
-                          duration_ms{copied.confirmed_age_ms()});
+  watch.record_confirmation(timestamp_from(copies.heartbeat_sent_ms()) -
+                            duration_ms{copied.confirmed_age_ms()});
 }
 
 bool object_follower::is_current() const {
--- a/src/objects/object_follower.hpp
+++ b/src/objects/object_follower.hpp
@@ -78,9 +78,9 @@
   };
 
   void take(const wire::CopiedKind &copied, object_watch &watch);
-  static void take_confirmation(const wire::ObjectCopies &copies,
-                                const wire::CopiedKind &copied,
-                                object_watch &watch);
+  static void record_confirmation(const wire::ObjectCopies &copies,
+                                  const wire::CopiedKind &copied,
+                                  object_watch &watch);
   void take_next_relay();
   void send_heartbeat();
   object_watch *watch_of(const std::string &kind);
--- a/src/objects/object_relay.cpp
+++ b/src/objects/object_relay.cpp
@@ -36,7 +36,7 @@
   for (watch_options &options : watches) {
     const std::string kind = options.kind;
     kind_copy &copy = kinds_[kind];
-    options.wanted = [this] { return followed(); };
+    options.enabled = [this] { return followed(); };
     copy.watch = std::make_unique<object_watch>(
         io_, store_, std::vector<listing_source *>(), cache_,
         std::move(options), handlers_of(copy));
@@ -59,8 +59,8 @@
 void object_relay::start() {
   for (const auto &[kind, copy] : kinds_) {
     asio::co_spawn(io_, copy.watch->run(), asio::detached);
-    asio::co_spawn(io_, copy.watch->follow_hints(), asio::detached);
-    asio::co_spawn(io_, copy.watch->confirm(), asio::detached);
+    asio::co_spawn(io_, copy.watch->relist_when_behind(), asio::detached);
+    asio::co_spawn(io_, copy.watch->confirm_periodically(), asio::detached);
   }
 }
 
--- a/src/objects/object_watch.cpp
+++ b/src/objects/object_watch.cpp
@@ -17,7 +17,7 @@
                            handlers notify)
     : io_(io), store_(store), peers_(std::move(peers)), cache_(cache),
       options_(std::move(options)), notify_(std::move(notify)),
-      pause_(options_.first_pause) {}
+      pause_(options_.initial_backoff) {}
 
 asio::awaitable<void> object_watch::run() {
   while (true) {
@@ -32,9 +32,9 @@
       asio::steady_timer timer(io_, next_call_ - steady_now());
       co_await timer.async_wait(as_result);
     }
-    next_call_ = steady_now() + options_.least_interval;
-    const duration_ms wait =
-        recovering_ ? options_.wait_after_loss : options_.wait;
+    next_call_ = steady_now() + options_.min_poll_interval;
+    const duration_ms wait = recovering_ ? options_.long_poll_timeout_after_loss
+                                         : options_.long_poll_timeout;
     const auto answer = co_await store_.watch(options_.kind, revision_, wait);
     if (answer) {
       recovering_ = false;
@@ -55,16 +55,16 @@
 
 asio::awaitable<void> object_watch::wait_until_wanted() {
   asio::steady_timer timer(io_);
-  while (!wanted()) {
+  while (!enabled()) {
     // Changes of the time between are found by a listing.
     in_sync_ = false;
-    timer.expires_after(options_.wanted_check);
+    timer.expires_after(options_.enabled_check_interval);
     co_await timer.async_wait(as_result);
   }
 }
 
 asio::awaitable<void> object_watch::list_until_known() {
-  while (wanted()) {
+  while (enabled()) {
     if (co_await list_from(store_, "store")) {
       in_sync_ = true;
       co_return;
@@ -93,7 +93,7 @@
   }
   if (source_name == "store") {
     on_answer();
-    take_confirmation(asked);
+    record_confirmation(asked);
   }
   co_return true;
 }
@@ -104,7 +104,7 @@
   }
   revision_ = std::max(revision_, listed.revision);
   for (const object &each : listed.items) {
-    newest_change_ = std::max(newest_change_, each.revision);
+    newest_object_revision_ = std::max(newest_object_revision_, each.revision);
   }
   known_ = true;
   notify_.on_listing(listed);
@@ -112,13 +112,14 @@
 }
 
 bool object_watch::has_all_of(const listing &listed) const {
-  return known_ && std::all_of(listed.items.begin(), listed.items.end(),
-                               [this](const object &each) {
-                                 return each.revision <= newest_change_;
-                               });
+  return known_ &&
+         std::all_of(listed.items.begin(), listed.items.end(),
+                     [this](const object &each) {
+                       return each.revision <= newest_object_revision_;
+                     });
 }
 
-asio::awaitable<void> object_watch::confirm() {
+asio::awaitable<void> object_watch::confirm_periodically() {
   constexpr int most_unanswered = 4;
   if (options_.confirm_interval.count() == 0) {
     co_return;
@@ -132,7 +133,7 @@
     co_await timer.async_wait(as_result);
     const bool confirmed_lately =
         steady_now() < confirmed_at_ + options_.confirm_interval;
-    const bool due = wanted() && known_ && !confirmed_lately && !asks_seldom();
+    const bool due = enabled() && known_ && !confirmed_lately && !asks_seldom();
     if (due && confirming_ < most_unanswered) {
       asio::co_spawn(io_, confirm_once(), asio::detached);
     }
@@ -150,11 +151,11 @@
   }
   if (has_all_of(listed.value()) || take_in(listed.value())) {
     on_answer();
-    take_confirmation(asked);
+    record_confirmation(asked);
   }
 }
 
-void object_watch::take_confirmation(timestamp moment) {
+void object_watch::record_confirmation(timestamp moment) {
   confirmed_at_ = std::max(confirmed_at_, moment);
   if (notify_.on_confirmed) {
     notify_.on_confirmed(moment);
@@ -171,14 +172,14 @@
   return in_sync_ && confirmed;
 }
 
-void object_watch::take_listing(const listing &listed) {
+void object_watch::apply_listing(const listing &listed) {
   if (!known_ || listed.revision > revision_) {
     take_in(listed);
   }
 }
 
-bool object_watch::take_changes(const change_list &changes,
-                                std::uint64_t since) {
+bool object_watch::apply_changes(const change_list &changes,
+                                 std::uint64_t since) {
   if (!known_ || since > revision_) {
     return false;
   }
@@ -186,7 +187,8 @@
   return true;
 }
 
-void object_watch::take_unchanged(std::uint64_t since, std::uint64_t revision) {
+void object_watch::apply_unchanged(std::uint64_t since,
+                                   std::uint64_t revision) {
   if (known_ && since <= revision_) {
     revision_ = std::max(revision_, revision);
   }
@@ -209,37 +211,38 @@
   }
   revision_ = std::max(revision_, changes.revision);
   for (const change &each : changes.changes) {
-    newest_change_ = std::max(newest_change_, each.changed.revision);
+    newest_object_revision_ =
+        std::max(newest_object_revision_, each.changed.revision);
     notify_.on_change(each);
   }
 }
 
 void object_watch::hint(std::uint64_t revision) {
-  if (revision > hinted_ && revision > revision_) {
-    behind_since_ = hinted_ > revision_ ? behind_since_ : steady_now();
-    hinted_ = revision;
+  if (revision > hinted_revision_ && revision > revision_) {
+    behind_since_ = hinted_revision_ > revision_ ? behind_since_ : steady_now();
+    hinted_revision_ = revision;
   }
 }
 
-asio::awaitable<void> object_watch::follow_hints() {
+asio::awaitable<void> object_watch::relist_when_behind() {
   asio::steady_timer timer(io_);
   while (true) {
-    timer.expires_after(options_.hint_check);
+    timer.expires_after(options_.hint_check_interval);
     co_await timer.async_wait(as_result);
     // Between two calls nothing can be heard; the next one brings it. When a
     // relay makes these calls, the pause between them is all that is known.
-    const bool relayed = !wanted();
-    const timestamp since = relayed ? behind_since_ + options_.least_interval
+    const bool relayed = !enabled();
+    const timestamp since = relayed ? behind_since_ + options_.min_poll_interval
                                     : std::max(behind_since_, next_call_);
-    const bool behind =
-        hinted_ > revision_ && steady_now() >= since + options_.hint_patience;
+    const bool behind = hinted_revision_ > revision_ &&
+                        steady_now() >= since + options_.hint_grace_period;
     if (!behind || (!in_sync_ && !relayed)) {
       continue; // caught up, or listing anew already
     }
     logging::line(logging::event::watch_behind)
         .field("kind", options_.kind)
         .field("revision", revision_)
-        .field("hinted", hinted_)
+        .field("hinted", hinted_revision_)
         .field("behind_ms", (steady_now() - behind_since_).count())
         .write();
     if (!co_await list_from(store_, "store")) {
@@ -249,7 +252,7 @@
 }
 
 void object_watch::on_answer() {
-  pause_ = options_.first_pause;
+  pause_ = options_.initial_backoff;
   if (!reachable_) {
     reachable_ = true;
     logging::line(logging::event::dependency_regained)
@@ -274,13 +277,13 @@
 
 asio::awaitable<void> object_watch::pause() {
   const duration_ms usual =
-      asks_seldom() ? options_.pause_while_others_ask : pause_;
+      asks_seldom() ? options_.shared_outage_retry_interval : pause_;
   // Spread, so that the gateways do not all come back at once.
   const auto spread = static_cast<std::int64_t>(
       random_() % static_cast<std::uint64_t>(usual.count()));
   asio::steady_timer timer(io_, usual / 2 + duration_ms{spread});
   co_await timer.async_wait(as_result);
-  pause_ = std::min(2 * pause_, options_.longest_pause);
+  pause_ = std::min(2 * pause_, options_.max_backoff);
 }
 
 } // namespace heathtrestle::objects
--- a/src/objects/object_watch.hpp
+++ b/src/objects/object_watch.hpp
@@ -21,29 +21,29 @@
   std::string kind;
   /// How long one watching call waits. An answer that is lost on its way is
   /// noticed at the end of the call, or by a hint from elsewhere.
-  duration_ms wait{28000};
+  duration_ms long_poll_timeout{28000};
   /// A hint counts when the watch has not caught up with it for this long, the
   /// pause between two calls not counted.
-  duration_ms hint_patience{400};
-  duration_ms hint_check{200};
+  duration_ms hint_grace_period{400};
+  duration_ms hint_check_interval{200};
   /// How long the first call after a lost one waits: a store that is dropping
   /// its history may keep a watch waiting for changes that it has forgotten.
-  duration_ms wait_after_loss{400};
+  duration_ms long_poll_timeout_after_loss{400};
   /// Changes that come closer together than this are fetched by one call.
-  duration_ms least_interval{150};
-  duration_ms first_pause{100};
-  duration_ms longest_pause{1000};
+  duration_ms min_poll_interval{150};
+  duration_ms initial_backoff{100};
+  duration_ms max_backoff{1000};
   /// Whether the store is to be watched at present; empty for always. While it
   /// is not, the copy is kept by what a relay sends.
-  std::function<bool()> wanted;
-  duration_ms wanted_check{50};
+  std::function<bool()> enabled;
+  duration_ms enabled_check_interval{50};
   /// True while others whose copies would do for this process ask the store in
   /// vain as well; empty for never. It is then asked seldom: they notice its
   /// return within a second and tell, and a whole fleet that asks a store which
   /// is down pays for each call and delays its return.
-  std::function<bool()> others_ask_in_vain;
+  std::function<bool()> store_down_for_others;
   /// One question in vain within the time in which changes have to take effect.
-  duration_ms pause_while_others_ask{4000};
+  duration_ms shared_outage_retry_interval{4000};
   /// The store is asked this often whether the copy is still current, and the
   /// copy counts as current only while it says so; zero for never. A watch that
   /// is silent proves nothing: the store may be silent to this process only.
@@ -54,7 +54,7 @@
 /// and each call to the store has its price. The time for which a draining
 /// replica may still be sent to has to hold the pause, a call, and a listing
 /// where the watch has gone deaf.
-constexpr duration_ms instance_interval(duration_ms drain_notice) {
+constexpr duration_ms instance_poll_interval(duration_ms drain_notice) {
   constexpr std::int64_t calls_in_drain_notice = 3;
   return drain_notice / calls_in_drain_notice;
 }
@@ -98,24 +98,26 @@
   asio::awaitable<void> run();
   /// Asks the store at intervals whether the copy is current, whether earlier
   /// questions are answered or not: one that was lost holds up no other.
-  asio::awaitable<void> confirm();
+  asio::awaitable<void> confirm_periodically();
   /// Lists anew when the watch stays behind what `hint` told.
-  asio::awaitable<void> follow_hints();
+  asio::awaitable<void> relist_when_behind();
 
   /// Takes in what a relay sent; what is known already changes nothing.
-  void take_listing(const listing &listed);
+  void apply_listing(const listing &listed);
   /// @param since the changes are those after this revision.
   /// @return false when changes before them are missing here.
-  bool take_changes(const change_list &changes, std::uint64_t since);
+  bool apply_changes(const change_list &changes, std::uint64_t since);
 
   /// A relay says that nothing has changed between the two revisions.
-  void take_unchanged(std::uint64_t since, std::uint64_t revision);
+  void apply_unchanged(std::uint64_t since, std::uint64_t revision);
   /// A relay says that the copy is as new as the store was at `moment`.
-  void take_confirmation(timestamp moment);
+  void record_confirmation(timestamp moment);
 
   /// Another process has heard of a change with this revision.
   void hint(std::uint64_t revision);
-  [[nodiscard]] std::uint64_t hinted() const { return hinted_; }
+  [[nodiscard]] std::uint64_t hinted_revision() const {
+    return hinted_revision_;
+  }
   /// The revision of the copy.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   /// True once a listing was taken in.
@@ -129,7 +131,9 @@
   /// never.
   [[nodiscard]] timestamp confirmed_at() const { return confirmed_at_; }
   /// The newest change of an object of this kind that was heard of.
-  [[nodiscard]] std::uint64_t newest_change() const { return newest_change_; }
+  [[nodiscard]] std::uint64_t newest_object_revision() const {
+    return newest_object_revision_;
+  }
 
 private:
   asio::awaitable<void> confirm_once();
@@ -137,13 +141,13 @@
                                   std::string_view source_name);
   asio::awaitable<void> list_until_known();
   asio::awaitable<void> wait_until_wanted();
-  [[nodiscard]] bool wanted() const {
-    return !options_.wanted || options_.wanted();
+  [[nodiscard]] bool enabled() const {
+    return !options_.enabled || options_.enabled();
   }
   bool take_in(const listing &listed);
   /// True while the store is asked seldom, because others ask it in vain.
   [[nodiscard]] bool asks_seldom() const {
-    return options_.others_ask_in_vain && options_.others_ask_in_vain();
+    return options_.store_down_for_others && options_.store_down_for_others();
   }
   /// True when the copy has every change that the listing has.
   [[nodiscard]] bool has_all_of(const listing &listed) const;
@@ -160,11 +164,11 @@
   handlers notify_;
   std::minstd_rand random_{std::random_device{}()};
   std::uint64_t revision_ = 0;
-  std::uint64_t newest_change_ = 0;
+  std::uint64_t newest_object_revision_ = 0;
   timestamp confirmed_at_{};
   /// Questions whether the copy is current that are not answered yet.
   int confirming_ = 0;
-  std::uint64_t hinted_ = 0;
+  std::uint64_t hinted_revision_ = 0;
   /// Since when `hinted_` is ahead of `revision_`.
   timestamp behind_since_{};
   bool known_ = false;
--- a/src/records/retirement_watch.cpp
+++ b/src/records/retirement_watch.cpp
@@ -27,7 +27,7 @@
           io, *binding.store, {}, cache_,
           // Only leaders act on them.
           {.kind = binding.retirement_kind,
-           .wanted = [this] { return runtime_.leads_any(); }},
+           .enabled = [this] { return runtime_.leads_any(); }},
           {.on_listing =
                [this](const objects::listing &listed) { on_listing(listed); },
            .on_change =
--- a/src/records/store_process.cpp
+++ b/src/records/store_process.cpp
@@ -33,14 +33,15 @@
 relayed_kinds(const store_settings &settings, const store_binding &binding) {
   std::vector<objects::watch_options> watches{
       {.kind = binding.configuration_kind,
-       .wait = relay_wait,
+       .long_poll_timeout = relay_wait,
        .confirm_interval = objects::confirm_interval(settings.key_revocation)},
       {.kind = binding.instance_kind,
-       .wait = relay_wait,
-       .least_interval = objects::instance_interval(settings.drain_notice)}};
+       .long_poll_timeout = relay_wait,
+       .min_poll_interval =
+           objects::instance_poll_interval(settings.drain_notice)}};
   if (settings.zone_drain.count() > 0) {
     watches.push_back({.kind = binding.zone_drain_kind,
-                       .wait = relay_wait,
+                       .long_poll_timeout = relay_wait,
                        .confirm_interval = objects::drain_confirm_interval(
                            settings.zone_drain)});
   }
--- a/tests/objects/object_watch_test.cpp
+++ b/tests/objects/object_watch_test.cpp
@@ -84,7 +84,7 @@
   void run_until(std::size_t watches) {
     object_watch watch(
         io_, store_, {&peer_}, cache_,
-        {.kind = "things", .first_pause = duration_ms{1}},
+        {.kind = "things", .initial_backoff = duration_ms{1}},
         {.on_listing =
              [this](const listing &listed) {
                seen_.push_back("listed " + std::to_string(listed.items.size()));
@@ -110,16 +110,16 @@
     object_watch watch(
         io_, store_, {}, cache_,
         {.kind = "things",
-         .hint_patience = duration_ms{20},
-         .hint_check = duration_ms{5},
-         .least_interval = interval},
+         .hint_grace_period = duration_ms{20},
+         .hint_check_interval = duration_ms{5},
+         .min_poll_interval = interval},
         {.on_listing =
              [this](const listing &listed) {
                seen_.push_back("listed " + std::to_string(listed.items.size()));
              },
          .on_change = [](const change &) {}});
     asio::co_spawn(io_, watch.run(), asio::detached);
-    asio::co_spawn(io_, watch.follow_hints(), asio::detached);
+    asio::co_spawn(io_, watch.relist_when_behind(), asio::detached);
     while (store_.watched_from.empty()) {
       io_.run_one();
     }
@@ -197,9 +197,11 @@
     run_until(3);
     const watch_options defaults;
     CPPUNIT_ASSERT(store_.waits == (std::vector<duration_ms>{
-                                       defaults.wait, defaults.wait_after_loss,
-                                       defaults.wait}));
-    CPPUNIT_ASSERT(defaults.wait_after_loss < defaults.wait);
+                                       defaults.long_poll_timeout,
+                                       defaults.long_poll_timeout_after_loss,
+                                       defaults.long_poll_timeout}));
+    CPPUNIT_ASSERT(defaults.long_poll_timeout_after_loss <
+                   defaults.long_poll_timeout);
   }
 
   void a_watch_that_stays_behind_a_hint_lists_anew() {
@@ -226,12 +228,12 @@
                               seen_.push_back((changed.deleted ? "-" : "+") +
                                               changed.changed.name);
                             }});
-    watch.take_listing({{named("a", 9)}, 9});
-    watch.take_changes({{{named("a", 6), false},
-                         {named("a", 7), true},
-                         {named("b", 10), false}},
-                        10},
-                       5);
+    watch.apply_listing({{named("a", 9)}, 9});
+    watch.apply_changes({{{named("a", 6), false},
+                          {named("a", 7), true},
+                          {named("b", 10), false}},
+                         10},
+                        5);
     CPPUNIT_ASSERT(seen_ == std::vector<std::string>{"+b"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cache_.find("things")->items.size());
   }
@@ -257,17 +259,18 @@
           io_, store_, std::vector<listing_source *>{}, *caches.back(),
           watch_options{
               .kind = "things",
-              .first_pause = duration_ms{5},
-              .longest_pause = duration_ms{20},
-              .others_ask_in_vain = [others_ask] { return others_ask; },
-              .pause_while_others_ask = duration_ms{400},
+              .initial_backoff = duration_ms{5},
+              .max_backoff = duration_ms{20},
+              .store_down_for_others = [others_ask] { return others_ask; },
+              .shared_outage_retry_interval = duration_ms{400},
               .confirm_interval = duration_ms{20}},
           object_watch::handlers{.on_listing = [](const listing &) {},
                                  .on_change = [](const change &) {},
                                  .on_confirmed = {}}));
-      watches.back()->take_listing({{named("a", 3)}, 5});
+      watches.back()->apply_listing({{named("a", 3)}, 5});
       asio::co_spawn(io_, watches.back()->run(), asio::detached);
-      asio::co_spawn(io_, watches.back()->confirm(), asio::detached);
+      asio::co_spawn(io_, watches.back()->confirm_periodically(),
+                     asio::detached);
     }
     io_.run_for(duration_ms{400});
     return store_.refused_listings;
--- a/tests/objects/shared_copies_test.cpp
+++ b/tests/objects/shared_copies_test.cpp
@@ -227,9 +227,9 @@
     relays_[address] = std::make_unique<object_relay>(
         io_, store, address,
         std::vector<watch_options>{{.kind = things,
-                                    .least_interval = duration_ms{1},
-                                    .first_pause = duration_ms{1},
-                                    .wanted_check = duration_ms{1},
+                                    .min_poll_interval = duration_ms{1},
+                                    .initial_backoff = duration_ms{1},
+                                    .enabled_check_interval = duration_ms{1},
                                     .confirm_interval = interval}},
         [this, address](const std::string &, const wire::Envelope &envelope) {
           const bool lost = dead_.contains(address) ||
@@ -281,10 +281,10 @@
     watch_ = std::make_unique<object_watch>(
         io_, store_, std::vector<listing_source *>{}, cache_,
         watch_options{.kind = things,
-                      .least_interval = duration_ms{1},
-                      .first_pause = duration_ms{1},
-                      .wanted = [this] { return !follower_->is_current(); },
-                      .wanted_check = duration_ms{1},
+                      .min_poll_interval = duration_ms{1},
+                      .initial_backoff = duration_ms{1},
+                      .enabled = [this] { return !follower_->is_current(); },
+                      .enabled_check_interval = duration_ms{1},
                       .confirm_interval = confirm_interval_},
         object_watch::handlers{.on_listing =
                                    [this](const listing &listed) {
@@ -315,7 +315,7 @@
         });
     follower_->add(things, *watch_);
     asio::co_spawn(io_, watch_->run(), asio::detached);
-    asio::co_spawn(io_, watch_->confirm(), asio::detached);
+    asio::co_spawn(io_, watch_->confirm_periodically(), asio::detached);
     asio::co_spawn(io_, follower_->run(), asio::detached);
   }
 
@@ -419,7 +419,7 @@
     start(both());
     wait_for({"one"});
     // The gateway has listed the store itself, which was ahead.
-    watch_->take_listing(listing{{named("one", 1), named("new", 9)}, 9});
+    watch_->apply_listing(listing{{named("one", 1), named("new", 9)}, 9});
     wire::ObjectCopies copies;
     copies.set_from(follower_->relay());
     wire::CopiedKind &kind = *copies.add_kinds();
@@ -431,7 +431,7 @@
     CPPUNIT_ASSERT((seen_ == std::set<std::string>{"one", "new"}));
     // Changes that follow others which are missing here are not taken in.
     CPPUNIT_ASSERT(
-        !watch_->take_changes({{{named("late", 20), false}}, 20}, 15));
+        !watch_->apply_changes({{{named("late", 20), false}}, 20}, 15));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, watch_->revision());
   }
 
