--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -157,9 +157,11 @@
     sources_.push_back(peers_.back().get());
   }
   gateway_.set_unconfirmed_everywhere(
-      [this] { return follower_.nobody_is_current(); });
+      [this] { return follower_.no_relay_is_current(); });
   const auto not_relayed = [this] { return !follower_.is_current(); };
-  const auto relays_in_vain = [this] { return follower_.nobody_is_current(); };
+  const auto relays_in_vain = [this] {
+    return follower_.no_relay_is_current();
+  };
   configuration_watch_.emplace(
       io, *binding.store, sources_, cache_,
       objects::watch_options{
--- a/src/objects/change_log.cpp
+++ b/src/objects/change_log.cpp
@@ -85,7 +85,7 @@
   return read;
 }
 
-void change_log::take(const listing &listed) {
+void change_log::apply(const listing &listed) {
   if (known_ && listed.revision < revision_) {
     return;
   }
@@ -117,7 +117,7 @@
   revision_ = listed.revision;
 }
 
-void change_log::take(const change &changed, std::uint64_t revision) {
+void change_log::apply(const change &changed, std::uint64_t revision) {
   log(to_wire(changed.changed, changed.deleted), revision);
   revision_ = std::max(revision_, revision);
 }
@@ -135,8 +135,8 @@
   }
 }
 
-void change_log::fill(wire::CopiedKind &message,
-                      const followed_revision &have) const {
+void change_log::write_update(wire::CopiedKind &message,
+                              const follower_revision &have) const {
   message.set_revision(revision_);
   message.set_since(have.revision);
   const bool in_log = have.known && have.revision >= base_;
--- a/src/objects/change_log.hpp
+++ b/src/objects/change_log.hpp
@@ -14,27 +14,28 @@
 namespace heathtrestle::objects {
 
 /// What a follower has.
-struct followed_revision {
+struct follower_revision {
   bool known = false;
   std::uint64_t revision = 0;
 
-  bool operator==(const followed_revision &) const = default;
+  bool operator==(const follower_revision &) const = default;
 };
 
 class change_log {
 public:
   /// Takes in a listing; what differs from the copy counts as changes.
-  void take(const listing &listed);
+  void apply(const listing &listed);
   /// Takes in a change.
   /// @param revision of the store after it.
-  void take(const change &changed, std::uint64_t revision);
+  void apply(const change &changed, std::uint64_t revision);
 
   /// False until the first listing.
   [[nodiscard]] bool known() const { return known_; }
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
   /// Fills in what a follower lacks; nothing when it lacks nothing.
-  void fill(wire::CopiedKind &message, const followed_revision &have) const;
+  void write_update(wire::CopiedKind &message,
+                    const follower_revision &have) const;
 
 private:
   struct logged {
--- a/src/objects/object_cache.cpp
+++ b/src/objects/object_cache.cpp
@@ -39,7 +39,8 @@
   return true;
 }
 
-bool object_cache::is_older(const std::string &kind, const object &told) const {
+bool object_cache::has_newer(const std::string &kind,
+                             const object &told) const {
   const auto copy = kinds_.find(kind);
   if (copy == kinds_.end()) {
     return false;
--- a/src/objects/object_cache.hpp
+++ b/src/objects/object_cache.hpp
@@ -22,8 +22,8 @@
 
   /// True when the copy has this object with a later revision. An object whose
   /// revision could not be read is never older.
-  [[nodiscard]] bool is_older(const std::string &kind,
-                              const object &told) const;
+  [[nodiscard]] bool has_newer(const std::string &kind,
+                               const object &told) const;
   /// @return nothing when the kind was never listed.
   [[nodiscard]] std::optional<listing> find(const std::string &kind) const;
 
--- a/src/objects/object_follower.cpp
+++ b/src/objects/object_follower.cpp
@@ -11,7 +11,8 @@
 
 namespace heathtrestle::objects {
 
-std::vector<relay_address> in_trial_order(std::vector<relay_address> relays) {
+std::vector<relay_address>
+sort_by_preference(std::vector<relay_address> relays) {
   std::sort(relays.begin(), relays.end(),
             [](const relay_address &left, const relay_address &right) {
               return std::tuple(stable_hash(left.name), left.name) <
@@ -52,14 +53,14 @@
 asio::awaitable<void> object_follower::run() {
   asio::steady_timer timer(io_);
   while (true) {
-    beat();
+    tick();
     timer.expires_after(options_.heartbeat);
     co_await timer.async_wait(as_result);
   }
 }
 
-void object_follower::beat() {
-  const bool useless = steady_now() >= useful_ + options_.answer_limit;
+void object_follower::tick() {
+  const bool useless = steady_now() >= useful_ + options_.relay_timeout;
   if (relay_.empty() || useless) {
     take_next_relay();
   }
@@ -69,7 +70,7 @@
 }
 
 void object_follower::take_next_relay() {
-  const auto relays = in_trial_order(relays_());
+  const auto relays = sort_by_preference(relays_());
   if (relays.empty()) {
     return;
   }
@@ -116,7 +117,7 @@
       static_cast<std::size_t>(copies.kinds_size()) >= kinds_.size();
   if (heartbeat && all_current) {
     useful_ = steady_now();
-    current_until_ = useful_ + options_.current_for;
+    current_until_ = useful_ + options_.confirmation_validity;
     tried_ = 0; // the next search begins with its usual one again
   }
 }
@@ -169,15 +170,15 @@
 
 bool object_follower::is_current() const {
   const timestamp now = steady_now();
-  const bool starting =
-      current_until_ == timestamp{} && now < started_ + options_.start_patience;
+  const bool starting = current_until_ == timestamp{} &&
+                        now < started_ + options_.startup_grace_period;
   return starting || now < current_until_;
 }
 
-bool object_follower::nobody_is_current() const {
+bool object_follower::no_relay_is_current() const {
   constexpr std::size_t relays_that_cannot_all_be_cut = 2;
   return tried_ >= relays_that_cannot_all_be_cut &&
-         steady_now() < answered_ + options_.answer_limit;
+         steady_now() < answered_ + options_.relay_timeout;
 }
 
 object_watch *object_follower::watch_of(const std::string &kind) {
--- a/src/objects/object_follower.hpp
+++ b/src/objects/object_follower.hpp
@@ -34,14 +34,14 @@
   duration_ms heartbeat{250};
   /// A relay that has not said for this long that its copies are current is
   /// left: two heartbeats and the time in which one begins to watch.
-  duration_ms answer_limit{600};
+  duration_ms relay_timeout{600};
   /// How long a relay's word that its copy is current counts. With the time to
   /// find another relay it must lie well below the time in which changes have
   /// to take effect.
-  duration_ms current_for{900};
+  duration_ms confirmation_validity{900};
   /// How long relays are tried at the start of the process, when nobody knows
   /// any storage node yet.
-  duration_ms start_patience{2500};
+  duration_ms startup_grace_period{2500};
 };
 
 class object_follower {
@@ -60,14 +60,14 @@
   /// Sends heartbeats; runs until the process ends.
   asio::awaitable<void> run();
   /// One heartbeat; leaves a relay that is of no use.
-  void beat();
+  void tick();
   void on_copies(const wire::ObjectCopies &copies);
 
   /// True while a relay keeps the copies current.
   [[nodiscard]] bool is_current() const;
   /// True while relays answer and none of those tried lately is current: the
   /// store is away for others too.
-  [[nodiscard]] bool nobody_is_current() const;
+  [[nodiscard]] bool no_relay_is_current() const;
   /// The relay that is followed; empty before any is known.
   [[nodiscard]] const std::string &relay() const { return relay_; }
 
@@ -105,6 +105,7 @@
 
 /// The relays in the order in which they are tried, the same on all gateways.
 /// Neighbours in it lie in different zones where there are several.
-std::vector<relay_address> in_trial_order(std::vector<relay_address> relays);
+std::vector<relay_address>
+sort_by_preference(std::vector<relay_address> relays);
 
 } // namespace heathtrestle::objects
--- a/src/objects/object_relay.cpp
+++ b/src/objects/object_relay.cpp
@@ -46,12 +46,12 @@
 object_watch::handlers object_relay::handlers_of(kind_copy &copy) {
   return {.on_listing =
               [this, &copy](const listing &listed) {
-                copy.log.take(listed);
+                copy.log.apply(listed);
                 push_soon();
               },
           .on_change =
               [this, &copy](const change &changed) {
-                copy.log.take(changed, copy.watch->revision());
+                copy.log.apply(changed, copy.watch->revision());
                 push_soon();
               }};
 }
@@ -124,7 +124,7 @@
     message.set_current(copy.log.known() && copy.watch->is_current());
     message.set_confirmed_age_ms(confirmed_age(*copy.watch));
     if (lacks) {
-      copy.log.fill(message, have);
+      copy.log.write_update(message, have);
       // A message that is lost is made up for at the next heartbeat.
       have = {.known = true, .revision = copy.log.revision()};
     }
--- a/src/objects/object_relay.hpp
+++ b/src/objects/object_relay.hpp
@@ -36,7 +36,7 @@
     std::unique_ptr<object_watch> watch;
   };
   struct follower {
-    std::map<std::string, followed_revision> have;
+    std::map<std::string, follower_revision> have;
     timestamp heard{};
   };
 
--- a/src/objects/object_watch.cpp
+++ b/src/objects/object_watch.cpp
@@ -199,7 +199,7 @@
   change_list changes{.changes = {}, .revision = told.revision};
   std::copy_if(told.changes.begin(), told.changes.end(),
                std::back_inserter(changes.changes), [this](const change &each) {
-                 return !cache_.is_older(options_.kind, each.changed);
+                 return !cache_.has_newer(options_.kind, each.changed);
                });
   if (told.changes.empty()) {
     // The store's counter may be ahead of what its watch has heard of. From the
--- a/tests/objects/shared_copies_test.cpp
+++ b/tests/objects/object_relay_test.cpp
@@ -107,10 +107,10 @@
 
   change_log log_;
 
-  std::set<std::string> lacking(const followed_revision &have,
+  std::set<std::string> lacking(const follower_revision &have,
                                 bool *whole = nullptr) {
     wire::CopiedKind message;
-    log_.fill(message, have);
+    log_.write_update(message, have);
     if (whole != nullptr) {
       *whole = message.whole();
     }
@@ -125,16 +125,16 @@
 
 public:
   void a_new_follower_gets_everything() {
-    log_.take(listing{{named("a", 3), named("b", 4)}, 5});
+    log_.apply(listing{{named("a", 3), named("b", 4)}, 5});
     bool whole = false;
     CPPUNIT_ASSERT((lacking({}, &whole) == name_set{"+a", "+b"}));
     CPPUNIT_ASSERT(whole);
   }
 
   void a_follower_gets_the_changes_since_its_revision() {
-    log_.take(listing{{named("a", 3)}, 5});
-    log_.take(change{named("b", 6), false}, 6);
-    log_.take(change{named("a", 7), true}, 7);
+    log_.apply(listing{{named("a", 3)}, 5});
+    log_.apply(change{named("b", 6), false}, 6);
+    log_.apply(change{named("a", 7), true}, 7);
     bool whole = true;
     CPPUNIT_ASSERT((lacking({true, 5}, &whole) == name_set{"+b", "-a"}));
     CPPUNIT_ASSERT(!whole);
@@ -144,17 +144,17 @@
   }
 
   void a_new_listing_counts_as_changes() {
-    log_.take(listing{{named("a", 3), named("b", 4)}, 5});
-    log_.take(listing{{named("b", 4), named("c", 8)}, 9});
+    log_.apply(listing{{named("a", 3), named("b", 4)}, 5});
+    log_.apply(listing{{named("b", 4), named("c", 8)}, 9});
     CPPUNIT_ASSERT((lacking({true, 5}) == name_set{"-a", "+c"}));
-    log_.take(listing{{named("a", 3)}, 6}); // older than what is known
+    log_.apply(listing{{named("a", 3)}, 6}); // older than what is known
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, log_.revision());
   }
 
   void who_is_too_far_behind_gets_everything() {
-    log_.take(listing{{named("a", 3)}, 5});
+    log_.apply(listing{{named("a", 3)}, 5});
     for (std::uint64_t revision = 6; revision < 4000; ++revision) {
-      log_.take(change{named("b", revision), false}, revision);
+      log_.apply(change{named("b", revision), false}, revision);
     }
     bool whole = false;
     CPPUNIT_ASSERT((lacking({true, 5}, &whole) == name_set{"+a", "+b"}));
@@ -187,8 +187,8 @@
 };
 
 /// Two relays and a gateway, with messages that may be lost.
-class shared_copies_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(shared_copies_test);
+class object_relay_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(object_relay_test);
   CPPUNIT_TEST(a_gateway_is_kept_current_without_the_store);
   CPPUNIT_TEST(a_lost_message_is_made_up_for);
   CPPUNIT_TEST(a_silent_relay_is_left);
@@ -306,9 +306,9 @@
         follow_options{.address = "gateway:1",
                        .relays = 1,
                        .heartbeat = duration_ms{5},
-                       .answer_limit = duration_ms{40},
-                       .current_for = duration_ms{60},
-                       .start_patience = start_patience_},
+                       .relay_timeout = duration_ms{40},
+                       .confirmation_validity = duration_ms{60},
+                       .startup_grace_period = start_patience_},
         [known = std::move(known)] { return known; },
         [this](const std::string &address, const wire::Envelope &envelope) {
           to_relay(address, envelope);
@@ -321,8 +321,8 @@
 
   /// Both relays, the one that is tried first in front.
   std::vector<relay_address> both() {
-    return in_trial_order({{.name = "a", .address = first, .zone = "z"},
-                           {.name = "b", .address = second, .zone = "z"}});
+    return sort_by_preference({{.name = "a", .address = first, .zone = "z"},
+                               {.name = "b", .address = second, .zone = "z"}});
   }
 
   /// Starts with the store that a relay of `both()` reaches.
@@ -339,8 +339,9 @@
   std::vector<relay_address> both_confirming() {
     add_relay("relay-c:1", near_store_, often);
     add_relay("relay-d:1", other_store_, often);
-    return in_trial_order({{.name = "c", .address = "relay-c:1", .zone = "z"},
-                           {.name = "d", .address = "relay-d:1", .zone = "z"}});
+    return sort_by_preference(
+        {{.name = "c", .address = "relay-c:1", .zone = "z"},
+         {.name = "d", .address = "relay-d:1", .zone = "z"}});
   }
 
   void run_for(duration_ms time) {
@@ -470,13 +471,13 @@
                        .address = name + ":1",
                        .zone = number < 8 ? "big" : "small"});
     }
-    const auto order = in_trial_order(known);
+    const auto order = sort_by_preference(known);
     CPPUNIT_ASSERT_EQUAL(known.size(), order.size());
     for (std::size_t place = 0; place + 1 < 8; place += 2) {
       CPPUNIT_ASSERT(order[place].zone != order[place + 1].zone);
     }
     std::reverse(known.begin(), known.end());
-    CPPUNIT_ASSERT(in_trial_order(known) == order);
+    CPPUNIT_ASSERT(sort_by_preference(known) == order);
   }
 
   void a_relay_tells_how_old_its_copy_can_be() {
@@ -582,7 +583,7 @@
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(change_log_test);
-CPPUNIT_TEST_SUITE_REGISTRATION(shared_copies_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(object_relay_test);
 
 } // namespace
 } // namespace heathtrestle::objects
