--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -212,7 +212,8 @@
   for (const wire::LeaderHint &hint : envelope.leaders()) {
     members_.merge(hint);
   }
-  members_.note_revision(sender, envelope.configuration_revision());
+  members_.record_configuration_revision(sender,
+                                         envelope.configuration_revision());
   if (sender != members_.self_id()) {
     relay_.on_peer_revision(configuration_, sender,
                             envelope.configuration_revision(), step);
@@ -336,7 +337,7 @@
     const bool carries_news = message.to() != members_.self_id().value() &&
                               (envelope.has_ping() || envelope.has_ack());
     if (carries_news) {
-      members_.attach_news(envelope);
+      members_.attach_gossip(envelope);
     }
   }
 }
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -31,7 +31,7 @@
   if (step.now() >= next_probe_) {
     check_suspects(members, step);
     next_probe_ = step.now() + options_.probe_interval;
-    members.forget_older_than(options_.dead_retention, step.now());
+    members.remove_dead_members(options_.dead_retention, step.now());
     start_probe(members, step);
   }
   tick_sync(members, step);
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -148,7 +148,8 @@
   spread(own);
 }
 
-void member_table::note_revision(node_id node, std::uint64_t revision) {
+void member_table::record_configuration_revision(node_id node,
+                                                 std::uint64_t revision) {
   const auto found = members_.find(node);
   if (found != members_.end()) {
     found->second.configuration_revision =
@@ -184,7 +185,7 @@
       }));
 }
 
-void member_table::forget_older_than(duration_ms age, timestamp now) {
+void member_table::remove_dead_members(duration_ms age, timestamp now) {
   std::erase_if(members_, [age, now](const auto &entry) {
     return entry.second.member.status() >= wire::MEMBER_DEAD &&
            now > entry.second.status_since + age;
@@ -238,7 +239,7 @@
   return voters;
 }
 
-void member_table::attach_news(wire::Envelope &envelope) {
+void member_table::attach_gossip(wire::Envelope &envelope) {
   for (wire::Member &member : take_news(member_rumors_, members_per_message)) {
     *envelope.add_members() = std::move(member);
   }
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -47,7 +47,7 @@
   void set_self_leaving(effects::step &step);
   void set_self_left(effects::step &step);
 
-  void note_revision(node_id node, std::uint64_t revision);
+  void record_configuration_revision(node_id node, std::uint64_t revision);
 
   [[nodiscard]] const std::map<node_id, member_state> &members() const {
     return members_;
@@ -60,7 +60,7 @@
   [[nodiscard]] std::vector<const wire::Member *> running() const;
   [[nodiscard]] std::size_t running_count() const;
   /// Forgets members that have been dead or gone for longer than `age`.
-  void forget_older_than(duration_ms age, timestamp now);
+  void remove_dead_members(duration_ms age, timestamp now);
 
   /// @return true when the hint was news.
   bool merge(const wire::LeaderHint &hint);
@@ -77,7 +77,7 @@
   founding_voters(partition_id partition) const;
 
   /// Adds news to an outgoing message and counts it as sent.
-  void attach_news(wire::Envelope &envelope);
+  void attach_gossip(wire::Envelope &envelope);
   /// Everything, for a member that joins.
   [[nodiscard]] wire::MembershipSync full_sync(bool reply_wanted) const;
 
