--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -503,7 +503,7 @@
       .write();
   settings_.log_level = fresh->log_level;
   settings_.grace_seconds = fresh->grace_seconds;
-  logging::set_least(logging::severity_from(fresh->log_level));
+  logging::set_min_severity(logging::severity_from(fresh->log_level));
 }
 
 } // namespace
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -122,7 +122,7 @@
   shared.limit = limit;
 }
 
-void set_least(severity least) { current().least = least; }
+void set_min_severity(severity least) { current().least = least; }
 
 severity severity_from(std::string_view name) {
   for (std::size_t index = 0; index < severity_names.size(); ++index) {
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -33,7 +33,7 @@
                sink output = sink::standard_error, volume_limit limit = {});
 
 /// Changes the least severity that is written.
-void set_least(severity least);
+void set_min_severity(severity least);
 
 /// @return the severity named "debug", "info", "warning" or "error"; `info`
 /// for any other name.
