--- a/src/objects/change_log.cpp
+++ b/src/objects/change_log.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-/// Changes that are kept: some seconds of the busiest times, in which every
-/// replica of a large fleet is replaced.
-constexpr std::size_t most_changes = 2000;
-/// A shorter specification gains nothing by being deflated.
+/// Holds a few seconds of changes while every replica of a large fleet is being
+/// replaced.
+constexpr std::size_t max_changes = 2000;
+/// Compressing shorter specifications saves nothing.
 constexpr std::size_t deflate_above_bytes = 1000;
-/// No object of the store is larger by far; a larger claim is not believed.
-constexpr std::size_t most_inflated_bytes = 16U << 20U;
+/// Bounds the buffer that a message can make its receiver allocate; the store's
+/// objects are far smaller.
+constexpr std::size_t max_inflated_bytes = 16U << 20U;
 
 std::string deflated(const std::string &text) {
   uLongf size = compressBound(text.size());
@@ -30,7 +31,7 @@
   return packed;
 }
 
-/// @return nothing but an empty text when `packed` is damaged.
+/// @return an empty string when `packed` is damaged or `size` is wrong.
 std::string inflated(const std::string &packed, std::size_t size) {
   std::string text(size, '\0');
   uLongf written = size;
@@ -70,7 +71,7 @@
   if (read.deleted) {
     return read;
   }
-  if (message.inflated_bytes() > most_inflated_bytes) {
+  if (message.inflated_bytes() > max_inflated_bytes) {
     return store_error::malformed;
   }
   const std::string text =
@@ -96,7 +97,7 @@
     const bool same =
         before != by_name_.end() && before->second.revision() == each.revision;
     if (!same) {
-      log(to_wire(each, false), listed.revision);
+      append(to_wire(each, false), listed.revision);
     }
   }
   std::vector<std::string> gone;
@@ -106,11 +107,11 @@
     }
   }
   for (const std::string &name : gone) {
-    log(to_wire({.name = name, .revision = listed.revision}, true),
-        listed.revision);
+    append(to_wire({.name = name, .revision = listed.revision}, true),
+           listed.revision);
   }
   if (!known_) {
-    changes_.clear(); // nobody has the state before the first listing
+    changes_.clear(); // no follower has a state from before the first listing
     base_ = listed.revision;
   }
   known_ = true;
@@ -118,18 +119,18 @@
 }
 
 void change_log::apply(const change &changed, std::uint64_t revision) {
-  log(to_wire(changed.changed, changed.deleted), revision);
+  append(to_wire(changed.changed, changed.deleted), revision);
   revision_ = std::max(revision_, revision);
 }
 
-void change_log::log(wire::CopiedObject object, std::uint64_t revision) {
+void change_log::append(wire::CopiedObject object, std::uint64_t revision) {
   if (object.deleted()) {
     by_name_.erase(object.name());
   } else {
     by_name_[object.name()] = object;
   }
   changes_.push_back({.revision = revision, .object = std::move(object)});
-  while (changes_.size() > most_changes) {
+  while (changes_.size() > max_changes) {
     base_ = changes_.front().revision;
     changes_.pop_front();
   }
@@ -147,7 +148,7 @@
     }
     return;
   }
-  for (const logged &each : changes_) {
+  for (const log_entry &each : changes_) {
     if (each.revision > have.revision) {
       *message.add_objects() = each.object;
     }
--- a/src/objects/change_log.hpp
+++ b/src/objects/change_log.hpp
@@ -1,6 +1,6 @@
-// A relay's copy of one kind of objects with the latest changes, from which a
-// follower is brought up to date: with the changes since its own revision, or
-// with everything where those are not kept any more.
+// Keeps a relay's copy of one kind of objects with a bounded log of recent
+// changes. A follower is brought up to date with the changes since its
+// revision, or with all objects when the log does not reach back that far.
 #pragma once
 
 #include "objects/object_store.hpp"
@@ -13,7 +13,8 @@
 
 namespace heathtrestle::objects {
 
-/// What a follower has.
+/// The revision of a follower's copy; `known` is false before its first
+/// listing.
 struct follower_revision {
   bool known = false;
   std::uint64_t revision = 0;
@@ -23,39 +24,41 @@
 
 class change_log {
 public:
-  /// Takes in a listing; what differs from the copy counts as changes.
+  /// Applies a listing and logs its differences from the copy as changes.
+  /// Ignores a listing older than the copy.
   void apply(const listing &listed);
-  /// Takes in a change.
-  /// @param revision of the store after it.
+  /// Applies and logs a change.
+  /// @param revision the store's revision after the change.
   void apply(const change &changed, std::uint64_t revision);
 
   /// False until the first listing.
   [[nodiscard]] bool known() const { return known_; }
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  /// Fills in what a follower lacks; nothing when it lacks nothing.
+  /// Writes the changes that a follower at `have` has not seen, or all objects
+  /// when the log does not reach back to its revision.
   void write_update(wire::CopiedKind &message,
                     const follower_revision &have) const;
 
 private:
-  struct logged {
+  struct log_entry {
     std::uint64_t revision = 0;
     wire::CopiedObject object;
   };
 
-  void log(wire::CopiedObject object, std::uint64_t revision);
+  void append(wire::CopiedObject object, std::uint64_t revision);
 
   bool known_ = false;
   std::uint64_t revision_ = 0;
-  /// Changes after this revision are in the log.
+  /// The log holds all changes after this revision.
   std::uint64_t base_ = 0;
   std::map<std::string, wire::CopiedObject> by_name_;
-  std::deque<logged> changes_;
+  std::deque<log_entry> changes_;
 };
 
-/// An object as it travels; a long specification is deflated.
+/// Encodes an object for the wire; compresses a long specification.
 wire::CopiedObject to_wire(const object &copied, bool deleted);
-/// @return `malformed` when the specification cannot be read.
+/// @return `malformed` when the specification cannot be decompressed or parsed.
 store_result<change> from_wire(const wire::CopiedObject &message);
 
 } // namespace heathtrestle::objects
--- a/src/objects/object_cache.cpp
+++ b/src/objects/object_cache.cpp
@@ -40,14 +40,14 @@
 }
 
 bool object_cache::has_newer(const std::string &kind,
-                             const object &told) const {
+                             const object &candidate) const {
   const auto copy = kinds_.find(kind);
   if (copy == kinds_.end()) {
     return false;
   }
-  const auto known = copy->second.by_name.find(told.name);
-  return known != copy->second.by_name.end() && told.revision != 0 &&
-         told.revision < known->second.revision;
+  const auto known = copy->second.by_name.find(candidate.name);
+  return known != copy->second.by_name.end() && candidate.revision != 0 &&
+         candidate.revision < known->second.revision;
 }
 
 std::optional<listing> object_cache::find(const std::string &kind) const {
@@ -76,7 +76,7 @@
 
 namespace {
 
-/// @return nothing when not even the name can be read.
+/// @return nothing when the item has no valid name.
 std::optional<object> decode_item(const json::value &item) {
   const json::object *fields = item.if_object();
   const json::value *name =
@@ -100,11 +100,11 @@
 } // namespace
 
 store_result<listing> decode_listing(const std::string &text) {
-  // Some levels more than the store's reader allows for a page of its own, so
-  // that no entry that passed there makes this text unreadable.
-  constexpr std::size_t deepest = 64;
+  // Allows some levels more than the parser of the store's pages, because the
+  // listing nests each object more deeply.
+  constexpr std::size_t max_depth = 64;
   json::parse_options options;
-  options.max_depth = deepest;
+  options.max_depth = max_depth;
   boost::system::error_code ec;
   const json::value parsed = json::parse(text, ec, {}, options);
   const json::object *fields = ec ? nullptr : parsed.if_object();
--- a/src/objects/object_cache.hpp
+++ b/src/objects/object_cache.hpp
@@ -1,5 +1,5 @@
-// This process's copy of some kinds of objects. Another process that starts
-// while the store is down may ask for it.
+// Caches the latest known objects of several kinds. The process serves this
+// copy to peers that start while the store is unavailable.
 #pragma once
 
 #include "objects/object_store.hpp"
@@ -13,18 +13,18 @@
 
 class object_cache {
 public:
-  /// Replaces all objects of a kind, unless the copy is newer already.
-  /// @return false when the listing is older than what is known.
+  /// Replaces all objects of a kind unless the copy is newer.
+  /// @return false when the listing is older than the copy.
   bool replace(const std::string &kind, listing objects);
-  /// Takes in changes that follow what is known, unless they are known already.
-  /// @return false when the copy is as new as they are.
+  /// Applies changes unless the copy already has their revision.
+  /// @return false when the copy is at least as new.
   bool apply(const std::string &kind, const change_list &changes);
 
-  /// True when the copy has this object with a later revision. An object whose
-  /// revision could not be read is never older.
+  /// True when the copy has this object at a later revision than `candidate`.
+  /// False when the revision of `candidate` could not be read (0).
   [[nodiscard]] bool has_newer(const std::string &kind,
-                               const object &told) const;
-  /// @return nothing when the kind was never listed.
+                               const object &candidate) const;
+  /// @return nothing when the kind is unknown.
   [[nodiscard]] std::optional<listing> find(const std::string &kind) const;
 
 private:
@@ -35,10 +35,11 @@
   std::map<std::string, kind_copy> kinds_;
 };
 
-/// A listing as this product's processes exchange it.
+/// Encodes a listing as JSON for other processes of this product.
 std::string encode_listing(const listing &objects);
-/// An item that cannot be read is given by its name alone, or left out.
-/// @return `malformed` when the text is no such listing.
+/// Decodes a listing. An item with a malformed revision or specification keeps
+/// only its name; an item without a name is left out.
+/// @return `malformed` when the text is not a listing.
 store_result<listing> decode_listing(const std::string &text);
 
 } // namespace heathtrestle::objects
--- a/src/objects/object_follower.cpp
+++ b/src/objects/object_follower.cpp
@@ -19,19 +19,19 @@
                      std::tuple(stable_hash(right.name), right.name);
             });
   // The first of each zone, then the second of each, and so on.
-  std::map<std::string, std::size_t> taken_of_zone;
-  std::vector<std::pair<std::size_t, relay_address>> by_turn;
+  std::map<std::string, std::size_t> count_by_zone;
+  std::vector<std::pair<std::size_t, relay_address>> by_rank;
   for (relay_address &each : relays) {
-    const std::size_t turn = taken_of_zone[each.zone]++;
-    by_turn.emplace_back(turn, std::move(each));
+    const std::size_t rank = count_by_zone[each.zone]++;
+    by_rank.emplace_back(rank, std::move(each));
   }
-  std::stable_sort(by_turn.begin(), by_turn.end(),
+  std::stable_sort(by_rank.begin(), by_rank.end(),
                    [](const auto &left, const auto &right) {
                      return left.first < right.first;
                    });
   std::vector<relay_address> ordered;
-  ordered.reserve(by_turn.size());
-  for (auto &[turn, each] : by_turn) {
+  ordered.reserve(by_rank.size());
+  for (auto &[rank, each] : by_rank) {
     ordered.push_back(std::move(each));
   }
   return ordered;
@@ -44,7 +44,7 @@
       send_(std::move(send)),
       first_relay_(stable_hash(options_.address) %
                    std::max<std::size_t>(options_.relays, 1)),
-      started_(steady_now()) {}
+      started_at_(steady_now()) {}
 
 void object_follower::add(std::string kind, object_watch &watch) {
   kinds_.push_back({.kind = std::move(kind), .watch = &watch});
@@ -60,24 +60,25 @@
 }
 
 void object_follower::tick() {
-  const bool useless = steady_now() >= useful_ + options_.relay_timeout;
-  if (relay_.empty() || useless) {
-    take_next_relay();
+  const bool timed_out =
+      steady_now() >= last_useful_at_ + options_.relay_timeout;
+  if (relay_.empty() || timed_out) {
+    switch_to_next_relay();
   }
   if (!relay_.empty()) {
     send_heartbeat();
   }
 }
 
-void object_follower::take_next_relay() {
+void object_follower::switch_to_next_relay() {
   const auto relays = sort_by_preference(relays_());
   if (relays.empty()) {
     return;
   }
   const std::string before = relay_;
-  relay_ = relays[(first_relay_ + tried_) % relays.size()].address;
-  ++tried_;
-  useful_ = steady_now();
+  relay_ = relays[(first_relay_ + relays_tried_) % relays.size()].address;
+  ++relays_tried_;
+  last_useful_at_ = steady_now();
   logging::line(logging::event::relay_chosen)
       .field("relay", relay_)
       .field("before", before)
@@ -90,7 +91,7 @@
   wire::FollowObjects &follow = *envelope.mutable_follow_objects();
   follow.set_reply_to(options_.address);
   follow.set_sent_ms(milliseconds_of(steady_now()));
-  for (const followed &each : kinds_) {
+  for (const followed_kind &each : kinds_) {
     wire::FollowedKind &kind = *follow.add_kinds();
     kind.set_kind(each.kind);
     kind.set_known(each.watch->known());
@@ -102,13 +103,13 @@
 
 void object_follower::on_copies(const wire::ObjectCopies &copies) {
   if (copies.from() != relay_) {
-    return; // one that was left
+    return; // no longer followed
   }
-  answered_ = steady_now();
+  last_answer_at_ = steady_now();
   bool all_current = true;
   for (const wire::CopiedKind &copied : copies.kinds()) {
-    if (object_watch *watch = watch_of(copied.kind())) {
-      take(copied, *watch);
+    if (object_watch *watch = find_watch(copied.kind())) {
+      apply_copy(copied, *watch);
       record_confirmation(copies, copied, *watch);
     }
     all_current = all_current && copied.current();
@@ -116,14 +117,14 @@
   const bool heartbeat =
       static_cast<std::size_t>(copies.kinds_size()) >= kinds_.size();
   if (heartbeat && all_current) {
-    useful_ = steady_now();
-    current_until_ = useful_ + options_.confirmation_validity;
-    tried_ = 0; // the next search begins with its usual one again
+    last_useful_at_ = steady_now();
+    current_until_ = last_useful_at_ + options_.confirmation_validity;
+    relays_tried_ = 0; // the next search starts at the first relay again
   }
 }
 
-void object_follower::take(const wire::CopiedKind &copied,
-                           object_watch &watch) {
+void object_follower::apply_copy(const wire::CopiedKind &copied,
+                                 object_watch &watch) {
   listing listed{.items = {}, .revision = copied.revision()};
   change_list changes{.changes = {}, .revision = copied.revision()};
   for (const wire::CopiedObject &each : copied.objects()) {
@@ -134,7 +135,8 @@
           .field("object", each.name())
           .field("relay", relay_)
           .write();
-      // Of this one object nothing is known any more; the others hold.
+      // Keeps only the object's name and revision; the other objects stay
+      // valid.
       read =
           change{.changed = {.name = each.name(), .revision = each.revision()}};
     }
@@ -156,14 +158,15 @@
 void object_follower::record_confirmation(const wire::ObjectCopies &copies,
                                           const wire::CopiedKind &copied,
                                           object_watch &watch) {
-  const bool answers =
+  const bool answers_heartbeat =
       copies.heartbeat_sent_ms() > 0 && copied.confirmed_age_ms() > 0;
   const bool has_everything = copied.revision() <= watch.revision();
-  if (!answers || !has_everything) {
+  if (!answers_heartbeat || !has_everything) {
     return;
   }
-  // The relay told the age when the heartbeat had reached it: counted from when
-  // that was sent, no time on the way or in a queue makes the copy younger.
+  // The relay computes the age when the heartbeat arrives. Counting back from
+  // when the heartbeat was sent keeps delays in transit or in a queue from
+  // making the copy look newer.
   watch.record_confirmation(timestamp_from(copies.heartbeat_sent_ms()) -
                             duration_ms{copied.confirmed_age_ms()});
 }
@@ -171,20 +174,20 @@
 bool object_follower::is_current() const {
   const timestamp now = steady_now();
   const bool starting = current_until_ == timestamp{} &&
-                        now < started_ + options_.startup_grace_period;
+                        now < started_at_ + options_.startup_grace_period;
   return starting || now < current_until_;
 }
 
 bool object_follower::no_relay_is_current() const {
-  constexpr std::size_t relays_that_cannot_all_be_cut = 2;
-  return tried_ >= relays_that_cannot_all_be_cut &&
-         steady_now() < answered_ + options_.relay_timeout;
+  constexpr std::size_t min_relays_tried = 2;
+  return relays_tried_ >= min_relays_tried &&
+         steady_now() < last_answer_at_ + options_.relay_timeout;
 }
 
-object_watch *object_follower::watch_of(const std::string &kind) {
-  const auto found =
-      std::find_if(kinds_.begin(), kinds_.end(),
-                   [&kind](const followed &each) { return each.kind == kind; });
+object_watch *object_follower::find_watch(const std::string &kind) {
+  const auto found = std::find_if(
+      kinds_.begin(), kinds_.end(),
+      [&kind](const followed_kind &each) { return each.kind == kind; });
   return found == kinds_.end() ? nullptr : found->watch;
 }
 
--- a/src/objects/object_relay.cpp
+++ b/src/objects/object_relay.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// A follower that is silent this long has gone elsewhere: several of its
+/// A follower without a heartbeat for this long is dropped. Spans several
 /// heartbeats (`follow_options::heartbeat`).
-constexpr duration_ms follower_gone_after{1500};
-/// The store is watched this long after the last follower was heard of, so that
-/// one that comes back finds a current copy.
-constexpr duration_ms watched_for{3000};
+constexpr duration_ms follower_timeout{1500};
+/// Watches continue this long after the last heartbeat, so that a returning
+/// follower finds a current copy.
+constexpr duration_ms watch_linger{3000};
 
-/// Milliseconds, one at the least; zero when the copy was never confirmed.
+/// @return the age in milliseconds, at least 1; 0 when the copy was never
+/// confirmed.
 std::uint32_t confirmed_age(const object_watch &watch) {
   if (watch.confirmed_at() == timestamp{}) {
     return 0;
@@ -36,23 +37,23 @@
   for (watch_options &options : watches) {
     const std::string kind = options.kind;
     kind_copy &copy = kinds_[kind];
-    options.enabled = [this] { return followed(); };
+    options.enabled = [this] { return has_followers(); };
     copy.watch = std::make_unique<object_watch>(
         io_, store_, std::vector<listing_source *>(), cache_,
-        std::move(options), handlers_of(copy));
+        std::move(options), make_handlers(copy));
   }
 }
 
-object_watch::handlers object_relay::handlers_of(kind_copy &copy) {
+object_watch::handlers object_relay::make_handlers(kind_copy &copy) {
   return {.on_listing =
               [this, &copy](const listing &listed) {
                 copy.log.apply(listed);
-                push_soon();
+                schedule_push();
               },
           .on_change =
               [this, &copy](const change &changed) {
                 copy.log.apply(changed, copy.watch->revision());
-                push_soon();
+                schedule_push();
               }};
 }
 
@@ -64,16 +65,16 @@
   }
 }
 
-bool object_relay::followed() const {
-  return followed_at_ != timestamp{} &&
-         steady_now() < followed_at_ + watched_for;
+bool object_relay::has_followers() const {
+  return last_heartbeat_at_ != timestamp{} &&
+         steady_now() < last_heartbeat_at_ + watch_linger;
 }
 
 void object_relay::on_follow(const wire::FollowObjects &follow) {
   const timestamp now = steady_now();
-  followed_at_ = now;
+  last_heartbeat_at_ = now;
   follower &from = followers_[follow.reply_to()];
-  from.heard = now;
+  from.last_heard_at = now;
   for (const wire::FollowedKind &each : follow.kinds()) {
     const auto known = kinds_.find(each.kind());
     if (known == kinds_.end()) {
@@ -83,10 +84,10 @@
                               .revision = each.revision()};
     known->second.watch->hint(each.hinted());
   }
-  send_to(follow.reply_to(), from, &follow);
+  send_update(follow.reply_to(), from, &follow);
 }
 
-void object_relay::push_soon() {
+void object_relay::schedule_push() {
   if (!push_posted_) {
     push_posted_ = true;
     asio::post(io_, [this] { push(); });
@@ -97,15 +98,15 @@
   push_posted_ = false;
   const timestamp now = steady_now();
   std::erase_if(followers_, [now](const auto &each) {
-    return now >= each.second.heard + follower_gone_after;
+    return now >= each.second.last_heard_at + follower_timeout;
   });
   for (auto &[address, to] : followers_) {
-    send_to(address, to, nullptr);
+    send_update(address, to, nullptr);
   }
 }
 
-void object_relay::send_to(const std::string &address, follower &to,
-                           const wire::FollowObjects *heartbeat) {
+void object_relay::send_update(const std::string &address, follower &to,
+                               const wire::FollowObjects *heartbeat) {
   wire::Envelope envelope;
   wire::ObjectCopies &copies = *envelope.mutable_object_copies();
   copies.set_from(self_);
@@ -114,18 +115,19 @@
   }
   for (auto &[kind, have] : to.have) {
     const kind_copy &copy = kinds_.at(kind);
-    const bool lacks = copy.log.known() &&
-                       (!have.known || have.revision < copy.log.revision());
-    if (!lacks && heartbeat == nullptr) {
+    const bool is_behind = copy.log.known() &&
+                           (!have.known || have.revision < copy.log.revision());
+    if (!is_behind && heartbeat == nullptr) {
       continue;
     }
     wire::CopiedKind &message = *copies.add_kinds();
     message.set_kind(kind);
     message.set_current(copy.log.known() && copy.watch->is_current());
     message.set_confirmed_age_ms(confirmed_age(*copy.watch));
-    if (lacks) {
+    if (is_behind) {
       copy.log.write_update(message, have);
-      // A message that is lost is made up for at the next heartbeat.
+      // A lost message is repaired by the next heartbeat, which carries the
+      // follower's actual revision.
       have = {.known = true, .revision = copy.log.revision()};
     }
   }
--- a/src/objects/object_relay.hpp
+++ b/src/objects/object_relay.hpp
@@ -1,6 +1,6 @@
-// A storage node's side of the shared copies: it watches the object store for
-// gateways that follow it, so that the store bears a few watchers a zone and
-// not one a machine. It watches only while somebody follows.
+// A storage node's side of object replication: watches the object store on
+// behalf of the gateways that follow it, which limits the store to a few
+// watchers per zone. Watches only while it has followers.
 #pragma once
 
 #include "objects/change_log.hpp"
@@ -25,7 +25,7 @@
   object_relay(asio::io_context &io, object_store &store, std::string self,
                std::vector<watch_options> watches, sender send);
 
-  /// Starts the watches; they wait until somebody follows.
+  /// Starts the watches, which stay idle until a gateway follows.
   void start();
   /// Answers a follower's heartbeat.
   void on_follow(const wire::FollowObjects &follow);
@@ -37,17 +37,18 @@
   };
   struct follower {
     std::map<std::string, follower_revision> have;
-    timestamp heard{};
+    timestamp last_heard_at{};
   };
 
-  object_watch::handlers handlers_of(kind_copy &copy);
-  [[nodiscard]] bool followed() const;
-  void push_soon();
+  object_watch::handlers make_handlers(kind_copy &copy);
+  [[nodiscard]] bool has_followers() const;
+  void schedule_push();
   void push();
-  /// @param heartbeat the one that is answered; null where changes are pushed,
-  /// without the kinds in which the follower lacks nothing.
-  void send_to(const std::string &address, follower &to,
-               const wire::FollowObjects *heartbeat);
+  /// Sends a follower the changes that it has not received.
+  /// @param heartbeat the heartbeat to answer; null for a pushed update, which
+  /// leaves out kinds without changes.
+  void send_update(const std::string &address, follower &to,
+                   const wire::FollowObjects *heartbeat);
 
   asio::io_context &io_;
   object_store &store_;
@@ -56,7 +57,7 @@
   object_cache cache_;
   std::map<std::string, kind_copy> kinds_;
   std::map<std::string, follower> followers_;
-  timestamp followed_at_{};
+  timestamp last_heartbeat_at_{};
   bool push_posted_ = false;
 };
 
--- a/src/objects/object_store.hpp
+++ b/src/objects/object_store.hpp
@@ -1,5 +1,5 @@
-// The store of named, versioned objects that the platform runs: what this
-// product needs of it, apart from how the platform spells its calls.
+// Interface to the platform's store of named, versioned objects, independent of
+// the platform's protocol.
 #pragma once
 
 #include "base/error.hpp"
@@ -15,15 +15,15 @@
 
 namespace heathtrestle::objects {
 
-/// Why a call brought no result, and whether it may have had an effect.
+/// Why a call failed, and whether it may have had an effect.
 enum class store_error : std::uint8_t {
-  unavailable,  // the store says that nothing was done
-  no_answer,    // it may be done, now or seconds later
-  throttled,    // too many calls; nothing was done
+  unavailable,  // not executed
+  no_answer,    // may have been executed, or may be seconds later
+  throttled,    // too many calls; not executed
   conflict,     // the object exists, or has another revision
   not_found,    // no such object
-  history_gone, // the changes since that revision are forgotten: list again
-  malformed,    // an answer that cannot be understood
+  history_gone, // changes since the revision are discarded; list again
+  malformed,    // the answer cannot be parsed
 };
 
 std::string_view name_of(store_error error);
@@ -50,13 +50,13 @@
 
 struct change_list {
   std::vector<change> changes;
-  /// The revision to watch on from.
+  /// The revision to continue watching from.
   std::uint64_t revision = 0;
 };
 
 template <typename Value> using store_result = result_or<Value, store_error>;
 
-/// Anything that can list the objects of a kind.
+/// A source of listings: the store or a peer.
 class listing_source {
 public:
   listing_source() = default;
@@ -83,7 +83,7 @@
          boost::json::value specification) = 0;
 
   /// Replaces the specification.
-  /// @param revision what the object must still have; 0 for any.
+  /// @param revision the revision that the object must still have; 0 for any.
   virtual boost::asio::awaitable<store_result<object>>
   replace(std::string kind, std::string name, std::uint64_t revision,
           boost::json::value specification) = 0;
--- a/src/objects/object_watch.cpp
+++ b/src/objects/object_watch.cpp
@@ -17,16 +17,16 @@
                            handlers notify)
     : io_(io), store_(store), peers_(std::move(peers)), cache_(cache),
       options_(std::move(options)), notify_(std::move(notify)),
-      pause_(options_.initial_backoff) {}
+      backoff_(options_.initial_backoff) {}
 
 asio::awaitable<void> object_watch::run() {
   while (true) {
-    co_await wait_until_wanted();
+    co_await wait_until_enabled();
     if (!in_sync_) {
       co_await list_until_known();
     }
     if (!in_sync_) {
-      continue; // not wanted any more
+      continue; // disabled in the meantime
     }
     if (steady_now() < next_call_) {
       asio::steady_timer timer(io_, next_call_ - steady_now());
@@ -39,24 +39,24 @@
     if (answer) {
       recovering_ = false;
       on_answer();
-      take(answer.value());
+      apply_newer_changes(answer.value());
       continue;
     }
-    // What changed while nobody listened is in the listing for certain; a watch
-    // from the old revision may be kept waiting without being told.
+    // Lists again, because a listing is certain to include the changes made in
+    // between; a watch from the old revision may wait without reporting them.
     in_sync_ = false;
     recovering_ = true;
     if (answer.error() != store_error::history_gone) {
       on_failure(answer.error());
-      co_await pause();
+      co_await back_off();
     }
   }
 }
 
-asio::awaitable<void> object_watch::wait_until_wanted() {
+asio::awaitable<void> object_watch::wait_until_enabled() {
   asio::steady_timer timer(io_);
   while (!enabled()) {
-    // Changes of the time between are found by a listing.
+    // The next listing finds the changes made while disabled.
     in_sync_ = false;
     timer.expires_after(options_.enabled_check_interval);
     co_await timer.async_wait(as_result);
@@ -70,35 +70,36 @@
       co_return;
     }
     for (listing_source *peer : peers_) {
-      // A peer's copy may lag: enough to serve with, and to watch on from.
+      // A peer's copy may be outdated, but it suffices to start serving and to
+      // watch from its revision.
       if (!known_ && co_await list_from(*peer, "peer")) {
         in_sync_ = true;
         co_return;
       }
     }
-    co_await pause();
+    co_await back_off();
   }
 }
 
 asio::awaitable<bool> object_watch::list_from(listing_source &source,
                                               std::string_view source_name) {
-  const timestamp asked = steady_now();
+  const timestamp requested_at = steady_now();
   const auto listed = co_await source.list(options_.kind);
   if (!listed) {
     on_failure(listed.error());
     co_return false;
   }
-  if (!take_in(listed.value())) {
+  if (!replace_copy(listed.value())) {
     co_return false;
   }
   if (source_name == "store") {
     on_answer();
-    record_confirmation(asked);
+    record_confirmation(requested_at);
   }
   co_return true;
 }
 
-bool object_watch::take_in(const listing &listed) {
+bool object_watch::replace_copy(const listing &listed) {
   if (!cache_.replace(options_.kind, listed)) {
     return false;
   }
@@ -111,7 +112,7 @@
   return true;
 }
 
-bool object_watch::has_all_of(const listing &listed) const {
+bool object_watch::has_all_changes_of(const listing &listed) const {
   return known_ &&
          std::all_of(listed.items.begin(), listed.items.end(),
                      [this](const object &each) {
@@ -120,38 +121,39 @@
 }
 
 asio::awaitable<void> object_watch::confirm_periodically() {
-  constexpr int most_unanswered = 4;
+  constexpr int max_pending = 4;
   if (options_.confirm_interval.count() == 0) {
     co_return;
   }
   asio::steady_timer timer(io_);
   while (true) {
-    // Sooner again while the copy is not current: a store that is back is to be
-    // noticed.
+    // Retries sooner while the copy is not current, to notice that the store is
+    // back.
     timer.expires_after(is_current() ? options_.confirm_interval
                                      : options_.confirm_interval / 2);
     co_await timer.async_wait(as_result);
     const bool confirmed_lately =
         steady_now() < confirmed_at_ + options_.confirm_interval;
-    const bool due = enabled() && known_ && !confirmed_lately && !asks_seldom();
-    if (due && confirming_ < most_unanswered) {
+    const bool due =
+        enabled() && known_ && !confirmed_lately && !is_shared_outage();
+    if (due && pending_confirmations_ < max_pending) {
       asio::co_spawn(io_, confirm_once(), asio::detached);
     }
   }
 }
 
 asio::awaitable<void> object_watch::confirm_once() {
-  ++confirming_;
-  const timestamp asked = steady_now();
+  ++pending_confirmations_;
+  const timestamp requested_at = steady_now();
   const auto listed = co_await store_.list(options_.kind);
-  --confirming_;
+  --pending_confirmations_;
   if (!listed) {
     on_failure(listed.error());
     co_return;
   }
-  if (has_all_of(listed.value()) || take_in(listed.value())) {
+  if (has_all_changes_of(listed.value()) || replace_copy(listed.value())) {
     on_answer();
-    record_confirmation(asked);
+    record_confirmation(requested_at);
   }
 }
 
@@ -163,18 +165,18 @@
 }
 
 bool object_watch::is_current() const {
-  // One answer may come late or be lost before others stop relying on it.
-  constexpr int intervals_without_answer = 3;
+  // One answer may be late or lost before the copy counts as outdated.
+  constexpr int valid_intervals = 3;
   const bool confirmed =
       options_.confirm_interval.count() == 0 ||
       steady_now() <
-          confirmed_at_ + intervals_without_answer * options_.confirm_interval;
+          confirmed_at_ + valid_intervals * options_.confirm_interval;
   return in_sync_ && confirmed;
 }
 
 void object_watch::apply_listing(const listing &listed) {
   if (!known_ || listed.revision > revision_) {
-    take_in(listed);
+    replace_copy(listed);
   }
 }
 
@@ -183,7 +185,7 @@
   if (!known_ || since > revision_) {
     return false;
   }
-  take(changes);
+  apply_newer_changes(changes);
   return true;
 }
 
@@ -194,16 +196,17 @@
   }
 }
 
-void object_watch::take(const change_list &told) {
-  // A relay tells again what lies behind the revision that it last heard of.
-  change_list changes{.changes = {}, .revision = told.revision};
-  std::copy_if(told.changes.begin(), told.changes.end(),
+void object_watch::apply_newer_changes(const change_list &received) {
+  // A relay may repeat changes that the copy already has.
+  change_list changes{.changes = {}, .revision = received.revision};
+  std::copy_if(received.changes.begin(), received.changes.end(),
                std::back_inserter(changes.changes), [this](const change &each) {
                  return !cache_.has_newer(options_.kind, each.changed);
                });
-  if (told.changes.empty()) {
-    // The store's counter may be ahead of what its watch has heard of. From the
-    // old revision on, what was missed is told, or that it is forgotten.
+  if (received.changes.empty()) {
+    // Keeps the old revision, because the store's counter may be ahead of the
+    // changes that its watch has seen. A watch from the old revision reports
+    // missed changes, or that they are discarded.
     return;
   }
   if (!cache_.apply(options_.kind, changes)) {
@@ -229,15 +232,15 @@
   while (true) {
     timer.expires_after(options_.hint_check_interval);
     co_await timer.async_wait(as_result);
-    // Between two calls nothing can be heard; the next one brings it. When a
-    // relay makes these calls, the pause between them is all that is known.
+    // No change arrives between two watch calls, and the next call reports it.
+    // When a relay makes these calls, only the interval between them is known.
     const bool relayed = !enabled();
     const timestamp since = relayed ? behind_since_ + options_.min_poll_interval
                                     : std::max(behind_since_, next_call_);
     const bool behind = hinted_revision_ > revision_ &&
                         steady_now() >= since + options_.hint_grace_period;
     if (!behind || (!in_sync_ && !relayed)) {
-      continue; // caught up, or listing anew already
+      continue; // caught up, or a listing is already pending
     }
     logging::line(logging::event::watch_behind)
         .field("kind", options_.kind)
@@ -246,13 +249,13 @@
         .field("behind_ms", (steady_now() - behind_since_).count())
         .write();
     if (!co_await list_from(store_, "store")) {
-      co_await pause();
+      co_await back_off();
     }
   }
 }
 
 void object_watch::on_answer() {
-  pause_ = options_.initial_backoff;
+  backoff_ = options_.initial_backoff;
   if (!reachable_) {
     reachable_ = true;
     logging::line(logging::event::dependency_regained)
@@ -275,15 +278,15 @@
   }
 }
 
-asio::awaitable<void> object_watch::pause() {
-  const duration_ms usual =
-      asks_seldom() ? options_.shared_outage_retry_interval : pause_;
-  // Spread, so that the gateways do not all come back at once.
+asio::awaitable<void> object_watch::back_off() {
+  const duration_ms mean =
+      is_shared_outage() ? options_.shared_outage_retry_interval : backoff_;
+  // Random jitter keeps the gateways from retrying all at once.
   const auto spread = static_cast<std::int64_t>(
-      random_() % static_cast<std::uint64_t>(usual.count()));
-  asio::steady_timer timer(io_, usual / 2 + duration_ms{spread});
+      random_() % static_cast<std::uint64_t>(mean.count()));
+  asio::steady_timer timer(io_, mean / 2 + duration_ms{spread});
   co_await timer.async_wait(as_result);
-  pause_ = std::min(2 * pause_, options_.max_backoff);
+  backoff_ = std::min(2 * backoff_, options_.max_backoff);
 }
 
 } // namespace heathtrestle::objects
--- a/src/objects/peer_listing.hpp
+++ b/src/objects/peer_listing.hpp
@@ -1,4 +1,4 @@
-// Lists what a peer process keeps of a kind, over the product's own interface.
+// Lists the objects that a peer process has cached, over its control interface.
 #pragma once
 
 #include "http/call_client.hpp"
@@ -8,7 +8,7 @@
 
 namespace heathtrestle::objects {
 
-/// Path under which a process serves its copies; the kind follows.
+/// Path under which a process serves its cached objects, followed by the kind.
 inline constexpr std::string_view peer_objects_path = "/v1/objects/";
 
 class peer_listing : public listing_source {
--- a/tests/objects/object_relay_test.cpp
+++ b/tests/objects/object_relay_test.cpp
@@ -1,5 +1,5 @@
-// Copies of watched objects that gateways get through storage nodes: what a
-// relay keeps and sends, and what a follower does with it and without it.
+// Tests object replication: the relay's change log, the relay, and the follower
+// with and without working relays.
 #include "objects/change_log.hpp"
 #include "objects/object_follower.hpp"
 #include "objects/object_relay.hpp"
@@ -27,12 +27,12 @@
           .is_deleting = false};
 }
 
-/// A store with one kind of objects that changes when the test says so.
-class small_store : public test_support::read_only_store {
+/// An in-memory store with one kind of objects, changed by the test.
+class fake_object_store : public test_support::read_only_store {
 public:
-  explicit small_store(asio::io_context &io) : io_(io) {}
+  explicit fake_object_store(asio::io_context &io) : io_(io) {}
 
-  /// Whether calls are answered at all.
+  /// When false, calls fail with `no_answer`.
   bool reachable = true;
   int listings = 0;
   int watches = 0;
@@ -47,14 +47,14 @@
     objects_.erase(name);
     log_.push_back({revision_, {named(name, revision_), true}});
   }
-  /// Waiting watches end without an answer, as when their machine is cut off.
-  void cut_off() { reachable = false; }
-  /// Calls are taken and never answered; a listing gives up after a while.
-  bool mute = false;
+  /// Makes pending and later calls fail, as when their machine is cut off.
+  void disconnect() { reachable = false; }
+  /// When true, watches never return and listings time out.
+  bool unresponsive = false;
 
   asio::awaitable<store_result<listing>> list(std::string) override {
     ++listings;
-    if (mute) {
+    if (unresponsive) {
       asio::steady_timer timeout(io_, duration_ms{10});
       co_await timeout.async_wait(as_result);
       co_return store_error::no_answer;
@@ -72,7 +72,7 @@
   watch(std::string, std::uint64_t revision, duration_ms) override {
     ++watches;
     asio::steady_timer timer(io_);
-    while (reachable && (mute || revision_ <= revision)) {
+    while (reachable && (unresponsive || revision_ <= revision)) {
       timer.expires_after(duration_ms{1});
       co_await timer.async_wait(as_result);
     }
@@ -97,18 +97,18 @@
 
 class change_log_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(change_log_test);
-  CPPUNIT_TEST(a_new_follower_gets_everything);
-  CPPUNIT_TEST(a_follower_gets_the_changes_since_its_revision);
-  CPPUNIT_TEST(a_new_listing_counts_as_changes);
-  CPPUNIT_TEST(who_is_too_far_behind_gets_everything);
-  CPPUNIT_TEST(long_specifications_travel_deflated);
+  CPPUNIT_TEST(new_follower_receives_all_objects);
+  CPPUNIT_TEST(follower_receives_changes_since_its_revision);
+  CPPUNIT_TEST(new_listing_is_logged_as_changes);
+  CPPUNIT_TEST(follower_behind_the_log_receives_all_objects);
+  CPPUNIT_TEST(long_specifications_are_compressed);
   CPPUNIT_TEST(damaged_objects_are_rejected);
   CPPUNIT_TEST_SUITE_END();
 
   change_log log_;
 
-  std::set<std::string> lacking(const follower_revision &have,
-                                bool *whole = nullptr) {
+  std::set<std::string> names_in_update(const follower_revision &have,
+                                        bool *whole = nullptr) {
     wire::CopiedKind message;
     log_.write_update(message, have);
     if (whole != nullptr) {
@@ -124,46 +124,48 @@
   using name_set = std::set<std::string>;
 
 public:
-  void a_new_follower_gets_everything() {
+  void new_follower_receives_all_objects() {
     log_.apply(listing{{named("a", 3), named("b", 4)}, 5});
     bool whole = false;
-    CPPUNIT_ASSERT((lacking({}, &whole) == name_set{"+a", "+b"}));
+    CPPUNIT_ASSERT((names_in_update({}, &whole) == name_set{"+a", "+b"}));
     CPPUNIT_ASSERT(whole);
   }
 
-  void a_follower_gets_the_changes_since_its_revision() {
+  void follower_receives_changes_since_its_revision() {
     log_.apply(listing{{named("a", 3)}, 5});
     log_.apply(change{named("b", 6), false}, 6);
     log_.apply(change{named("a", 7), true}, 7);
     bool whole = true;
-    CPPUNIT_ASSERT((lacking({true, 5}, &whole) == name_set{"+b", "-a"}));
+    CPPUNIT_ASSERT(
+        (names_in_update({true, 5}, &whole) == name_set{"+b", "-a"}));
     CPPUNIT_ASSERT(!whole);
-    CPPUNIT_ASSERT((lacking({true, 6}) == name_set{"-a"}));
-    CPPUNIT_ASSERT(lacking({true, 7}).empty());
-    CPPUNIT_ASSERT(lacking({true, 9}).empty()); // ahead of this relay
+    CPPUNIT_ASSERT((names_in_update({true, 6}) == name_set{"-a"}));
+    CPPUNIT_ASSERT(names_in_update({true, 7}).empty());
+    CPPUNIT_ASSERT(names_in_update({true, 9}).empty()); // ahead of this relay
   }
 
-  void a_new_listing_counts_as_changes() {
+  void new_listing_is_logged_as_changes() {
     log_.apply(listing{{named("a", 3), named("b", 4)}, 5});
     log_.apply(listing{{named("b", 4), named("c", 8)}, 9});
-    CPPUNIT_ASSERT((lacking({true, 5}) == name_set{"-a", "+c"}));
-    log_.apply(listing{{named("a", 3)}, 6}); // older than what is known
+    CPPUNIT_ASSERT((names_in_update({true, 5}) == name_set{"-a", "+c"}));
+    log_.apply(listing{{named("a", 3)}, 6}); // older than the copy
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, log_.revision());
   }
 
-  void who_is_too_far_behind_gets_everything() {
+  void follower_behind_the_log_receives_all_objects() {
     log_.apply(listing{{named("a", 3)}, 5});
     for (std::uint64_t revision = 6; revision < 4000; ++revision) {
       log_.apply(change{named("b", revision), false}, revision);
     }
     bool whole = false;
-    CPPUNIT_ASSERT((lacking({true, 5}, &whole) == name_set{"+a", "+b"}));
+    CPPUNIT_ASSERT(
+        (names_in_update({true, 5}, &whole) == name_set{"+a", "+b"}));
     CPPUNIT_ASSERT(whole);
-    lacking({true, 3990}, &whole);
+    names_in_update({true, 3990}, &whole);
     CPPUNIT_ASSERT(!whole);
   }
 
-  void long_specifications_travel_deflated() {
+  void long_specifications_are_compressed() {
     const std::string text(100000, 'x');
     const wire::CopiedObject message = to_wire(named("a", 3, text), false);
     CPPUNIT_ASSERT(message.specification().size() < 2000);
@@ -186,33 +188,33 @@
   }
 };
 
-/// Two relays and a gateway, with messages that may be lost.
+/// Two relays and a gateway, connected by messages that can be dropped.
 class object_relay_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(object_relay_test);
-  CPPUNIT_TEST(a_gateway_is_kept_current_without_the_store);
-  CPPUNIT_TEST(a_lost_message_is_made_up_for);
-  CPPUNIT_TEST(a_silent_relay_is_left);
-  CPPUNIT_TEST(a_relay_that_is_cut_from_the_store_is_left);
-  CPPUNIT_TEST(without_relays_the_gateway_watches_the_store);
-  CPPUNIT_TEST(a_relay_that_lags_turns_nothing_back);
-  CPPUNIT_TEST(a_copy_that_cannot_be_read_leaves_the_others);
-  CPPUNIT_TEST(a_relay_watches_only_while_it_is_followed);
-  CPPUNIT_TEST(relays_next_to_each_other_lie_in_different_zones);
-  CPPUNIT_TEST(a_relay_tells_how_old_its_copy_can_be);
-  CPPUNIT_TEST(a_relay_whose_store_falls_silent_proves_nothing_more);
-  CPPUNIT_TEST(an_answer_that_was_long_on_its_way_looks_no_younger);
-  CPPUNIT_TEST(only_who_has_everything_is_as_new_as_the_relay);
-  CPPUNIT_TEST(a_relay_ahead_by_other_kinds_proves_as_much);
-  CPPUNIT_TEST(on_its_own_the_gateway_asks_the_store_for_proof);
+  CPPUNIT_TEST(gateway_stays_current_without_calling_the_store);
+  CPPUNIT_TEST(lost_message_is_sent_again_after_a_heartbeat);
+  CPPUNIT_TEST(silent_relay_is_replaced);
+  CPPUNIT_TEST(relay_cut_off_from_the_store_is_replaced);
+  CPPUNIT_TEST(gateway_without_relays_watches_the_store);
+  CPPUNIT_TEST(lagging_relay_does_not_revert_the_copy);
+  CPPUNIT_TEST(malformed_object_keeps_the_others);
+  CPPUNIT_TEST(relay_watches_only_while_it_has_followers);
+  CPPUNIT_TEST(preference_order_alternates_zones);
+  CPPUNIT_TEST(relay_reports_the_age_of_its_copy);
+  CPPUNIT_TEST(relay_with_an_unresponsive_store_confirms_nothing);
+  CPPUNIT_TEST(answer_delay_counts_towards_the_age);
+  CPPUNIT_TEST(incomplete_copy_is_not_confirmed);
+  CPPUNIT_TEST(changes_of_other_kinds_do_not_prevent_confirmation);
+  CPPUNIT_TEST(gateway_without_relays_confirms_with_the_store);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
-  small_store store_{io_};       // as the gateway reaches it
-  small_store near_store_{io_};  // as the first relay reaches it
-  small_store other_store_{io_}; // as the second one reaches it
+  fake_object_store store_{io_};        // used by the gateway
+  fake_object_store first_store_{io_};  // used by the first relay
+  fake_object_store second_store_{io_}; // used by the second relay
   std::map<std::string, std::unique_ptr<object_relay>> relays_;
-  std::set<std::string> dead_;
-  int lose_copies_ = 0;
+  std::set<std::string> dead_relays_;
+  int copies_to_drop_ = 0;
   object_cache cache_;
   std::set<std::string> seen_;
   std::unique_ptr<object_watch> watch_;
@@ -221,8 +223,8 @@
   static constexpr const char *first = "relay-a:1";
   static constexpr const char *second = "relay-b:1";
 
-  /// A relay that confirms its copy every `interval`; zero for never.
-  void add_relay(const std::string &address, small_store &store,
+  /// Adds a relay that confirms its copy every `interval`; zero for never.
+  void add_relay(const std::string &address, fake_object_store &store,
                  duration_ms interval = duration_ms{0}) {
     relays_[address] = std::make_unique<object_relay>(
         io_, store, address,
@@ -232,8 +234,8 @@
                                     .enabled_check_interval = duration_ms{1},
                                     .confirm_interval = interval}},
         [this, address](const std::string &, const wire::Envelope &envelope) {
-          const bool lost = dead_.contains(address) ||
-                            (lose_copies_ > 0 && lose_copies_-- > 0);
+          const bool lost = dead_relays_.contains(address) ||
+                            (copies_to_drop_ > 0 && copies_to_drop_-- > 0);
           if (!lost) {
             asio::post(io_, [this, envelope] {
               follower_->on_copies(envelope.object_copies());
@@ -244,7 +246,7 @@
   }
 
   void to_relay(const std::string &address, const wire::Envelope &envelope) {
-    if (!dead_.contains(address)) {
+    if (!dead_relays_.contains(address)) {
       asio::post(io_, [this, address, envelope] {
         relays_.at(address)->on_follow(envelope.follow_objects());
       });
@@ -252,12 +254,12 @@
   }
 
   void put(const std::string &name) {
-    for (small_store *store : {&store_, &near_store_, &other_store_}) {
+    for (fake_object_store *store : {&store_, &first_store_, &second_store_}) {
       store->put(name);
     }
   }
   void erase(const std::string &name) {
-    for (small_store *store : {&store_, &near_store_, &other_store_}) {
+    for (fake_object_store *store : {&store_, &first_store_, &second_store_}) {
       store->erase(name);
     }
   }
@@ -319,15 +321,15 @@
     asio::co_spawn(io_, follower_->run(), asio::detached);
   }
 
-  /// Both relays, the one that is tried first in front.
-  std::vector<relay_address> both() {
+  /// Both relays, in the order in which the gateway tries them.
+  std::vector<relay_address> both_relays() {
     return sort_by_preference({{.name = "a", .address = first, .zone = "z"},
                                {.name = "b", .address = second, .zone = "z"}});
   }
 
-  /// Starts with the store that a relay of `both()` reaches.
-  small_store &store_of(const std::string &address) {
-    return address == first ? near_store_ : other_store_;
+  /// The store that a relay of `both_relays()` uses.
+  fake_object_store &store_of(const std::string &address) {
+    return address == first ? first_store_ : second_store_;
   }
 
   duration_ms start_patience_{3600000};
@@ -335,10 +337,11 @@
 
   static constexpr duration_ms often{5};
 
-  /// Two relays that confirm their copies, in the order of their trial.
-  std::vector<relay_address> both_confirming() {
-    add_relay("relay-c:1", near_store_, often);
-    add_relay("relay-d:1", other_store_, often);
+  /// Adds two relays that confirm their copies, in the order in which the
+  /// gateway tries them.
+  std::vector<relay_address> both_confirming_relays() {
+    add_relay("relay-c:1", first_store_, often);
+    add_relay("relay-d:1", second_store_, often);
     return sort_by_preference(
         {{.name = "c", .address = "relay-c:1", .zone = "z"},
          {.name = "d", .address = "relay-d:1", .zone = "z"}});
@@ -351,49 +354,49 @@
 
 public:
   void setUp() override {
-    add_relay(first, near_store_);
-    add_relay(second, other_store_);
+    add_relay(first, first_store_);
+    add_relay(second, second_store_);
     put("one");
   }
   void tearDown() override { io_.stop(); }
 
-  void a_gateway_is_kept_current_without_the_store() {
-    start(both());
+  void gateway_stays_current_without_calling_the_store() {
+    start(both_relays());
     wait_for({"one"});
     put("two");
     wait_for({"one", "two"});
     erase("one");
     wait_for({"two"});
     CPPUNIT_ASSERT_EQUAL(0, store_.listings + store_.watches);
-    CPPUNIT_ASSERT(near_store_.listings == 0 || other_store_.listings == 0);
+    CPPUNIT_ASSERT(first_store_.listings == 0 || second_store_.listings == 0);
   }
 
-  void a_lost_message_is_made_up_for() {
-    start(both());
+  void lost_message_is_sent_again_after_a_heartbeat() {
+    start(both_relays());
     wait_for({"one"});
-    lose_copies_ = 1;
+    copies_to_drop_ = 1;
     put("two");
     put("three");
     wait_for({"one", "two", "three"});
     CPPUNIT_ASSERT_EQUAL(0, store_.listings);
   }
 
-  void a_silent_relay_is_left() {
-    start(both());
+  void silent_relay_is_replaced() {
+    start(both_relays());
     wait_for({"one"});
     const std::string left = follower_->relay();
-    dead_.insert(left);
+    dead_relays_.insert(left);
     put("two");
     wait_for({"one", "two"});
     run_until([this] { return follower_->is_current(); });
     CPPUNIT_ASSERT(follower_->relay() != left);
   }
 
-  void a_relay_that_is_cut_from_the_store_is_left() {
-    start(both());
+  void relay_cut_off_from_the_store_is_replaced() {
+    start(both_relays());
     wait_for({"one"});
     const std::string left = follower_->relay();
-    store_of(left).cut_off();
+    store_of(left).disconnect();
     put("two");
     wait_for({"one", "two"});
     run_until([this, &left] {
@@ -401,25 +404,25 @@
     });
   }
 
-  void without_relays_the_gateway_watches_the_store() {
-    dead_ = {first, second};
+  void gateway_without_relays_watches_the_store() {
+    dead_relays_ = {first, second};
     start_patience_ = duration_ms{20};
-    start(both());
+    start(both_relays());
     wait_for({"one"});
     put("two");
     wait_for({"one", "two"});
     CPPUNIT_ASSERT(store_.listings > 0);
-    // Once a relay is back the store is left alone.
-    dead_.clear();
+    // Once a relay is back, the gateway follows it again.
+    dead_relays_.clear();
     run_until([this] { return follower_->is_current(); });
     put("three");
     wait_for({"one", "two", "three"});
   }
 
-  void a_relay_that_lags_turns_nothing_back() {
-    start(both());
+  void lagging_relay_does_not_revert_the_copy() {
+    start(both_relays());
     wait_for({"one"});
-    // The gateway has listed the store itself, which was ahead.
+    // The gateway has listed the store itself, which was ahead of the relay.
     watch_->apply_listing(listing{{named("one", 1), named("new", 9)}, 9});
     wire::ObjectCopies copies;
     copies.set_from(follower_->relay());
@@ -430,14 +433,14 @@
     *kind.add_objects() = to_wire(named("old", 5), false);
     follower_->on_copies(copies);
     CPPUNIT_ASSERT((seen_ == std::set<std::string>{"one", "new"}));
-    // Changes that follow others which are missing here are not taken in.
+    // Changes after a gap are rejected.
     CPPUNIT_ASSERT(
         !watch_->apply_changes({{{named("late", 20), false}}, 20}, 15));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, watch_->revision());
   }
 
-  void a_copy_that_cannot_be_read_leaves_the_others() {
-    start(both());
+  void malformed_object_keeps_the_others() {
+    start(both_relays());
     wait_for({"one"});
     wire::ObjectCopies copies;
     copies.set_from(follower_->relay());
@@ -455,15 +458,15 @@
     CPPUNIT_ASSERT(copy->items.at(0).specification.is_null());
   }
 
-  void a_relay_watches_only_while_it_is_followed() {
-    const auto order = both();
+  void relay_watches_only_while_it_has_followers() {
+    const auto order = both_relays();
     start({order.front()});
     wait_for({"one"});
     CPPUNIT_ASSERT(store_of(order.front().address).watches > 0);
     CPPUNIT_ASSERT_EQUAL(0, store_of(order.back().address).listings);
   }
 
-  void relays_next_to_each_other_lie_in_different_zones() {
+  void preference_order_alternates_zones() {
     std::vector<relay_address> known;
     for (int number = 0; number < 12; ++number) {
       const std::string name = std::to_string(number);
@@ -480,34 +483,35 @@
     CPPUNIT_ASSERT(sort_by_preference(known) == order);
   }
 
-  void a_relay_tells_how_old_its_copy_can_be() {
-    const timestamp begun = steady_now();
-    start(both_confirming());
-    run_until([&] { return watch_->confirmed_at() > begun; });
+  void relay_reports_the_age_of_its_copy() {
+    const timestamp started_at = steady_now();
+    start(both_confirming_relays());
+    run_until([&] { return watch_->confirmed_at() > started_at; });
     const timestamp before = watch_->confirmed_at();
     run_until([&] { return watch_->confirmed_at() > before; });
     CPPUNIT_ASSERT(watch_->confirmed_at() <= steady_now());
     CPPUNIT_ASSERT_EQUAL(0, store_.listings);
   }
 
-  void a_relay_whose_store_falls_silent_proves_nothing_more() {
-    near_store_.put("only here"); // tells the two stores apart
-    start(both_confirming());
+  void relay_with_an_unresponsive_store_confirms_nothing() {
+    first_store_.put("only here"); // makes the two stores differ
+    start(both_confirming_relays());
     run_until([this] { return watch_->confirmed_at() != timestamp{}; });
     const std::string left = follower_->relay();
-    small_store &silent = left == "relay-c:1" ? near_store_ : other_store_;
-    silent.mute = true;
-    store_.mute = true; // the gateway's own way proves nothing either
-    const timestamp muted = steady_now();
+    fake_object_store &silent =
+        left == "relay-c:1" ? first_store_ : second_store_;
+    silent.unresponsive = true;
+    store_.unresponsive = true; // nor can the gateway confirm its copy itself
+    const timestamp unresponsive_since = steady_now();
     run_until([&] {
       const bool followed = follower_->relay() == left;
-      CPPUNIT_ASSERT(!followed || watch_->confirmed_at() <= muted);
+      CPPUNIT_ASSERT(!followed || watch_->confirmed_at() <= unresponsive_since);
       return !followed;
     });
-    run_until([&] { return watch_->confirmed_at() > muted; });
+    run_until([&] { return watch_->confirmed_at() > unresponsive_since; });
   }
 
-  /// An answer to a heartbeat, without anything that the gateway lacks.
+  /// An answer to a heartbeat without new objects.
   wire::ObjectCopies answer_to(timestamp heartbeat, std::uint32_t age_ms) {
     wire::ObjectCopies copies;
     copies.set_from(follower_->relay());
@@ -520,40 +524,40 @@
     return copies;
   }
 
-  void an_answer_that_was_long_on_its_way_looks_no_younger() {
-    start(both());
+  void answer_delay_counts_towards_the_age() {
+    start(both_relays());
     wait_for({"one"});
     constexpr std::uint32_t age_ms = 700;
     const timestamp sent = steady_now() - duration_ms{3000};
     follower_->on_copies(answer_to(sent, age_ms));
     CPPUNIT_ASSERT_EQUAL(milliseconds_of(sent) - age_ms,
                          milliseconds_of(watch_->confirmed_at()));
-    // What is pushed answers nothing: nobody knows how long it travelled.
+    // A pushed update answers no heartbeat, so its delay is unknown.
     follower_->on_copies(answer_to({}, 1));
     CPPUNIT_ASSERT_EQUAL(milliseconds_of(sent) - age_ms,
                          milliseconds_of(watch_->confirmed_at()));
-    // A relay that was never confirmed proves nothing.
+    // Age 0 means that the relay's copy was never confirmed.
     follower_->on_copies(answer_to(steady_now(), 0));
     CPPUNIT_ASSERT_EQUAL(milliseconds_of(sent) - age_ms,
                          milliseconds_of(watch_->confirmed_at()));
   }
 
-  void only_who_has_everything_is_as_new_as_the_relay() {
-    start(both());
+  void incomplete_copy_is_not_confirmed() {
+    start(both_relays());
     wait_for({"one"});
     wire::ObjectCopies copies = answer_to(steady_now(), 1);
-    copies.mutable_kinds(0)->set_since(8); // what comes before is missing here
+    copies.mutable_kinds(0)->set_since(8); // the gateway lacks earlier changes
     copies.mutable_kinds(0)->set_revision(9);
     *copies.mutable_kinds(0)->add_objects() = to_wire(named("nine", 9), false);
     follower_->on_copies(copies);
     CPPUNIT_ASSERT(watch_->confirmed_at() == timestamp{});
   }
 
-  void a_relay_ahead_by_other_kinds_proves_as_much() {
-    start(both());
+  void changes_of_other_kinds_do_not_prevent_confirmation() {
+    start(both_relays());
     wait_for({"one"});
-    // The relay has listed anew: the store's counter has gone on meanwhile,
-    // and no object of this kind has changed.
+    // The relay has listed again after changes of other kinds had advanced the
+    // store's counter.
     wire::ObjectCopies copies = answer_to(steady_now(), 1);
     copies.mutable_kinds(0)->set_since(watch_->revision());
     copies.mutable_kinds(0)->set_revision(watch_->revision() + 40);
@@ -561,18 +565,18 @@
     CPPUNIT_ASSERT(watch_->confirmed_at() != timestamp{});
   }
 
-  void on_its_own_the_gateway_asks_the_store_for_proof() {
-    dead_ = {first, second};
+  void gateway_without_relays_confirms_with_the_store() {
+    dead_relays_ = {first, second};
     start_patience_ = duration_ms{20};
     confirm_interval_ = often;
-    start(both());
+    start(both_relays());
     wait_for({"one"});
     const timestamp listed = watch_->confirmed_at();
     CPPUNIT_ASSERT(listed != timestamp{});
     run_until([&] { return watch_->confirmed_at() > listed; });
-    // A store that is silent to this gateway proves nothing, whatever its
-    // watch looks like.
-    store_.mute = true;
+    // An unresponsive store confirms nothing, although its watch has not
+    // failed.
+    store_.unresponsive = true;
     run_for(4 * often);
     const timestamp last = watch_->confirmed_at();
     run_for(10 * often);
--- a/tests/objects/object_watch_test.cpp
+++ b/tests/objects/object_watch_test.cpp
@@ -19,7 +19,8 @@
           .is_deleting = false};
 }
 
-/// Answers what it is told to, in order; then it waits for ever.
+/// Returns scripted answers in order. After the last one, listings fail and
+/// watches never return.
 class scripted_store : public test_support::read_only_store {
 public:
   explicit scripted_store(asio::io_context &io) : io_(io) {}
@@ -59,19 +60,19 @@
 
 class object_watch_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(object_watch_test);
-  CPPUNIT_TEST(it_lists_and_watches_from_there);
-  CPPUNIT_TEST(forgotten_history_is_listed_anew);
-  CPPUNIT_TEST(while_the_store_is_down_a_peer_serves);
-  CPPUNIT_TEST(a_peer_that_lags_does_not_turn_back_time);
-  CPPUNIT_TEST(an_empty_answer_moves_nothing_on);
-  CPPUNIT_TEST(after_a_lost_watch_it_lists_anew);
-  CPPUNIT_TEST(the_first_watch_after_a_loss_is_short);
-  CPPUNIT_TEST(a_watch_that_stays_behind_a_hint_lists_anew);
-  CPPUNIT_TEST(a_hint_of_what_is_known_changes_nothing);
-  CPPUNIT_TEST(a_hint_between_two_calls_waits_for_the_next);
-  CPPUNIT_TEST(a_store_that_is_down_for_all_is_asked_seldom);
-  CPPUNIT_TEST(a_store_that_is_down_for_this_process_alone_is_asked_often);
-  CPPUNIT_TEST(changes_told_again_turn_nothing_back);
+  CPPUNIT_TEST(watches_from_the_listed_revision);
+  CPPUNIT_TEST(relists_when_history_is_gone);
+  CPPUNIT_TEST(lists_from_a_peer_while_the_store_is_down);
+  CPPUNIT_TEST(ignores_an_older_listing_of_a_peer);
+  CPPUNIT_TEST(empty_answer_keeps_the_revision);
+  CPPUNIT_TEST(relists_after_a_failed_watch);
+  CPPUNIT_TEST(first_watch_after_a_failure_is_short);
+  CPPUNIT_TEST(relists_when_behind_a_hint);
+  CPPUNIT_TEST(ignores_a_hint_that_is_not_newer);
+  CPPUNIT_TEST(hint_between_two_calls_does_not_relist);
+  CPPUNIT_TEST(retries_rarely_while_the_store_is_down_for_all);
+  CPPUNIT_TEST(retries_often_while_only_this_process_is_cut_off);
+  CPPUNIT_TEST(repeated_changes_are_ignored);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
@@ -101,9 +102,9 @@
     io_.stop();
   }
 
-  /// Hints while a watching call is never answered, and waits until `listings`
-  /// were taken in, or for `patience`.
-  /// @param interval from one watching call to the next.
+  /// Sends a hint during an unanswered watch call, then runs until `listings`
+  /// listings were applied or `patience` has passed.
+  /// @param interval the minimum time from one watch call to the next.
   void hint_during_watch(std::uint64_t revision, std::size_t listings,
                          duration_ms patience,
                          duration_ms interval = duration_ms{5}) {
@@ -132,7 +133,7 @@
   }
 
 public:
-  void it_lists_and_watches_from_there() {
+  void watches_from_the_listed_revision() {
     store_.listings.push_back(listing{{named("a", 3)}, 5});
     store_.watches.push_back(
         change_list{{{named("b", 6), false}, {named("a", 7), true}}, 7});
@@ -142,7 +143,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cache_.find("things")->items.size());
   }
 
-  void forgotten_history_is_listed_anew() {
+  void relists_when_history_is_gone() {
     store_.listings.push_back(listing{{named("a", 3)}, 5});
     store_.watches.push_back(store_error::history_gone);
     store_.listings.push_back(listing{{named("c", 8)}, 9});
@@ -152,7 +153,7 @@
                          cache_.find("things")->items.front().name);
   }
 
-  void while_the_store_is_down_a_peer_serves() {
+  void lists_from_a_peer_while_the_store_is_down() {
     store_.listings.push_back(store_error::no_answer);
     peer_.listings.push_back(listing{{named("p", 2)}, 4});
     run_until(1);
@@ -160,7 +161,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, store_.watched_from.front());
   }
 
-  void a_peer_that_lags_does_not_turn_back_time() {
+  void ignores_an_older_listing_of_a_peer() {
     cache_.replace("things", listing{{named("new", 8)}, 9});
     store_.listings.push_back(store_error::no_answer);
     peer_.listings.push_back(listing{{named("old", 2)}, 4});
@@ -169,17 +170,17 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, store_.watched_from.front());
   }
 
-  void an_empty_answer_moves_nothing_on() {
-    // The store may have heard nothing of a change that it counts already.
+  void empty_answer_keeps_the_revision() {
+    // The store's counter may include a change that its watch has not seen.
     store_.listings.push_back(listing{{}, 5});
     store_.watches.push_back(change_list{{}, 9});
     run_until(2);
     CPPUNIT_ASSERT(store_.watched_from == (std::vector<std::uint64_t>{5, 5}));
   }
 
-  void after_a_lost_watch_it_lists_anew() {
-    // The store may be dropping its history: a watch from the old revision that
-    // comes too early is neither refused nor told what it missed.
+  void relists_after_a_failed_watch() {
+    // A store that is discarding its history may neither refuse a watch from
+    // the old revision nor report the missed changes.
     store_.listings.push_back(listing{{named("a", 3)}, 5});
     store_.watches.push_back(store_error::no_answer);
     store_.listings.push_back(listing{{named("a", 3), named("b", 8)}, 9});
@@ -188,8 +189,9 @@
     CPPUNIT_ASSERT(store_.watched_from == (std::vector<std::uint64_t>{5, 9}));
   }
 
-  void the_first_watch_after_a_loss_is_short() {
-    // What changes between the listing and the watch is heard after its end.
+  void first_watch_after_a_failure_is_short() {
+    // Changes between the listing and the watch are reported after the watch
+    // ends.
     store_.listings.push_back(listing{{}, 5});
     store_.watches.push_back(store_error::no_answer);
     store_.listings.push_back(listing{{}, 5});
@@ -204,23 +206,24 @@
                    defaults.long_poll_timeout);
   }
 
-  void a_watch_that_stays_behind_a_hint_lists_anew() {
-    // The answer of the watching call was lost; another process has heard.
+  void relists_when_behind_a_hint() {
+    // The answer of the watch call was lost, but another process saw the
+    // change.
     store_.listings.push_back(listing{{named("a", 3)}, 5});
     store_.listings.push_back(listing{{named("a", 8)}, 9});
     hint_during_watch(8, 2, duration_ms{10000});
     CPPUNIT_ASSERT(seen_ == (std::vector<std::string>{"listed 1", "listed 1"}));
   }
 
-  void a_hint_of_what_is_known_changes_nothing() {
+  void ignores_a_hint_that_is_not_newer() {
     store_.listings.push_back(listing{{named("a", 3)}, 5});
     store_.listings.push_back(listing{{named("a", 8)}, 9});
     hint_during_watch(4, 2, duration_ms{120});
     CPPUNIT_ASSERT(seen_ == std::vector<std::string>{"listed 1"});
   }
 
-  void changes_told_again_turn_nothing_back() {
-    // A relay tells everything since the revision that it last heard of.
+  void repeated_changes_are_ignored() {
+    // A relay sends all changes since the revision that it last received.
     object_watch watch(io_, store_, {}, cache_, {.kind = "things"},
                        {.on_listing = [](const listing &) {},
                         .on_change =
@@ -238,9 +241,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cache_.find("things")->items.size());
   }
 
-  void a_hint_between_two_calls_waits_for_the_next() {
-    // The call has been answered and the next one is not due yet: a listing
-    // would only bring sooner, and dearer, what that call brings.
+  void hint_between_two_calls_does_not_relist() {
+    // The next watch call is not due yet and will report the change at a lower
+    // cost than a listing.
     store_.listings.push_back(listing{{named("a", 3)}, 5});
     store_.listings.push_back(listing{{named("a", 8)}, 9});
     store_.watches.push_back(change_list{{{named("b", 6), false}}, 6});
@@ -249,21 +252,21 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store_.watched_from.size());
   }
 
-  /// Calls to a store that is down, by ten gateways in 400 ms.
-  std::size_t calls_in_vain(bool others_ask) {
+  /// Counts the calls of ten gateways to an unavailable store in 400 ms.
+  std::size_t calls_to_failed_store(bool down_for_others) {
     std::vector<std::unique_ptr<object_cache>> caches;
     std::vector<std::unique_ptr<object_watch>> watches;
     for (int gateway = 0; gateway < 10; ++gateway) {
       caches.push_back(std::make_unique<object_cache>());
       watches.push_back(std::make_unique<object_watch>(
           io_, store_, std::vector<listing_source *>{}, *caches.back(),
-          watch_options{
-              .kind = "things",
-              .initial_backoff = duration_ms{5},
-              .max_backoff = duration_ms{20},
-              .store_down_for_others = [others_ask] { return others_ask; },
-              .shared_outage_retry_interval = duration_ms{400},
-              .confirm_interval = duration_ms{20}},
+          watch_options{.kind = "things",
+                        .initial_backoff = duration_ms{5},
+                        .max_backoff = duration_ms{20},
+                        .store_down_for_others =
+                            [down_for_others] { return down_for_others; },
+                        .shared_outage_retry_interval = duration_ms{400},
+                        .confirm_interval = duration_ms{20}},
           object_watch::handlers{.on_listing = [](const listing &) {},
                                  .on_change = [](const change &) {},
                                  .on_confirmed = {}}));
@@ -276,26 +279,26 @@
     return store_.refused_listings;
   }
 
-  void a_store_that_is_down_for_all_is_asked_seldom() {
-    // One call each at once, and hardly a second one.
-    CPPUNIT_ASSERT(calls_in_vain(true) <= 20);
+  void retries_rarely_while_the_store_is_down_for_all() {
+    // One call each at the start, and few second ones.
+    CPPUNIT_ASSERT(calls_to_failed_store(true) <= 20);
   }
 
-  void a_store_that_is_down_for_this_process_alone_is_asked_often() {
-    CPPUNIT_ASSERT(calls_in_vain(false) >= 200);
+  void retries_often_while_only_this_process_is_cut_off() {
+    CPPUNIT_ASSERT(calls_to_failed_store(false) >= 200);
   }
 };
 
 class object_cache_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(object_cache_test);
-  CPPUNIT_TEST(a_listing_survives_its_encoding);
-  CPPUNIT_TEST(text_that_is_no_listing_is_malformed);
-  CPPUNIT_TEST(an_unreadable_item_leaves_the_others);
+  CPPUNIT_TEST(encoded_listing_decodes_to_the_same);
+  CPPUNIT_TEST(text_that_is_not_a_listing_is_malformed);
+  CPPUNIT_TEST(malformed_item_keeps_the_others);
   CPPUNIT_TEST(a_specification_may_be_nested_deeply);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void a_listing_survives_its_encoding() {
+  void encoded_listing_decodes_to_the_same() {
     const listing before{{named("a", 3), named("b", 4)}, 5};
     const auto after = decode_listing(encode_listing(before));
     CPPUNIT_ASSERT(after);
@@ -305,7 +308,7 @@
                    boost::json::value("b"));
   }
 
-  void text_that_is_no_listing_is_malformed() {
+  void text_that_is_not_a_listing_is_malformed() {
     for (const char *text :
          {"", "{", "[]", "{\"revision\":1}", "{\"revision\":1,\"items\":{}}",
           "{\"revision\":\"x\",\"items\":[]}"}) {
@@ -313,7 +316,7 @@
     }
   }
 
-  void an_unreadable_item_leaves_the_others() {
+  void malformed_item_keeps_the_others() {
     const auto read = decode_listing(
         R"({"revision":9,"items":[{},{"name":7,"revision":1},{"name":"a"},
             {"name":"b","revision":4,"specification":"b"}]})");
@@ -326,7 +329,7 @@
   }
 
   void a_specification_may_be_nested_deeply() {
-    // What the store's reader has taken is read from a peer, too.
+    // Every nesting depth accepted from the store is also accepted from a peer.
     object deep = named("deep", 3);
     for (int level = 0; level < 31; ++level) {
       deep.specification = boost::json::array{deep.specification};
