--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::vector<node_id> others(const member_table &members, bool running) {
+std::vector<node_id> other_members(const member_table &members, bool running) {
   std::vector<node_id> result;
   for (const auto &[node, state] : members.members()) {
     const bool is_running = state.member.status() < wire::MEMBER_DEAD;
@@ -46,9 +46,9 @@
   if (!first) {
     sync(members, step);
   }
-  // A member that joined just now knows little and asks often; later news
-  // travels with the probes, and syncs only mend what was missed. The random
-  // share keeps members that started together from syncing together.
+  // A new member syncs often; later updates travel with the probes, and syncs
+  // only repair missed ones. The random jitter keeps members that started
+  // together from syncing together.
   sync_pause_ = std::min(2 * sync_pause_, options_.sync_interval);
   const auto pause = static_cast<std::size_t>(sync_pause_.count());
   next_sync_ = step.now() + sync_pause_ / 2 +
@@ -63,7 +63,7 @@
   envelope.mutable_ack()->set_sequence(ping.sequence());
   const member_state *sender = members.find(node_id{from.from()});
   if (sender != nullptr && sender->member.status() != wire::MEMBER_ALIVE) {
-    // Let a member that is wrongly thought dead hear of it and refute it.
+    // Lets a member that is falsely believed dead refute it.
     *envelope.add_members() = sender->member;
   }
   step.send(node_id{from.from()}, std::move(envelope));
@@ -74,8 +74,8 @@
   const auto relayed = relayed_.find(ack.sequence());
   if (relayed != relayed_.end()) {
     wire::Envelope envelope;
-    envelope.mutable_ack()->set_sequence(relayed->second.asker_sequence);
-    step.send(relayed->second.asker, std::move(envelope));
+    envelope.mutable_ack()->set_sequence(relayed->second.requester_sequence);
+    step.send(relayed->second.requester, std::move(envelope));
     relayed_.erase(relayed);
     return;
   }
@@ -141,10 +141,10 @@
 
 void failure_detector::start_probe(const member_table &members,
                                    effects::step &step) {
-  const bool probe_dead = step.draw_below(options_.dead_probe_share) == 0;
-  std::vector<node_id> candidates = others(members, !probe_dead);
+  const bool probe_dead = step.draw_below(options_.probes_per_dead_probe) == 0;
+  std::vector<node_id> candidates = other_members(members, !probe_dead);
   if (candidates.empty()) {
-    candidates = others(members, true);
+    candidates = other_members(members, true);
   }
   if (candidates.empty()) {
     return;
@@ -166,10 +166,11 @@
       failed.push_back(sequence);
     } else if (age >= options_.direct_timeout && !pending.indirect_sent) {
       pending.indirect_sent = true;
-      std::vector<node_id> helpers = others(members, true);
+      std::vector<node_id> helpers = other_members(members, true);
       std::erase(helpers, pending.target);
-      for (std::size_t asked = 0;
-           asked < options_.indirect_probes && !helpers.empty(); ++asked) {
+      for (std::size_t sent_requests = 0;
+           sent_requests < options_.indirect_probes && !helpers.empty();
+           ++sent_requests) {
         const std::size_t picked = step.draw_below(helpers.size());
         wire::Envelope envelope;
         envelope.mutable_ping_request()->set_sequence(sequence);
@@ -194,21 +195,21 @@
 
 void failure_detector::check_suspects(member_table &members,
                                       effects::step &step) {
-  std::vector<node_id> overdue;
+  std::vector<node_id> expired;
   for (const auto &[node, state] : members.members()) {
     const bool suspect = state.member.status() == wire::MEMBER_SUSPECT;
     if (suspect &&
         step.now() - state.status_since >= options_.suspicion_timeout) {
-      overdue.push_back(node);
+      expired.push_back(node);
     }
   }
-  for (const node_id node : overdue) {
+  for (const node_id node : expired) {
     members.set_status(node, wire::MEMBER_DEAD, step);
   }
 }
 
 void failure_detector::sync(const member_table &members, effects::step &step) {
-  const std::vector<node_id> candidates = others(members, true);
+  const std::vector<node_id> candidates = other_members(members, true);
   if (candidates.empty()) {
     return;
   }
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,6 +1,6 @@
-// SWIM-style failure detection: each interval one member is probed, directly
-// and then through others; silence makes it suspect and later dead. The cost a
-// node does not grow with the cluster.
+// SWIM-style failure detection. At each interval one member is probed, directly
+// and then through others; a member that does not answer becomes suspected and
+// later dead. The cost per node does not depend on the cluster's size.
 #pragma once
 
 #include "membership/member_table.hpp"
@@ -16,15 +16,16 @@
   duration_ms direct_timeout{300};
   duration_ms probe_timeout{900};
   duration_ms suspicion_timeout{3000};
-  /// Between full exchanges with a random member: at first, and in the end.
+  /// Interval between full syncs with a random member: grows from the first
+  /// value to the second.
   duration_ms first_sync_interval{1000};
   duration_ms sync_interval{60000};
   duration_ms join_interval{500};
   duration_ms dead_retention{600000};
   std::size_t indirect_probes = 3;
-  /// One probe in this many goes to a dead member, so that two halves of a
-  /// split cluster find each other again.
-  std::size_t dead_probe_share = 8;
+  /// One probe in this many goes to a dead member, so that the halves of a
+  /// partitioned cluster find each other again.
+  std::size_t probes_per_dead_probe = 8;
 };
 
 class failure_detector {
@@ -47,8 +48,8 @@
     bool indirect_sent = false;
   };
   struct relayed_probe {
-    node_id asker;
-    std::uint64_t asker_sequence = 0;
+    node_id requester;
+    std::uint64_t requester_sequence = 0;
     timestamp sent{};
   };
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -11,19 +11,20 @@
 
 namespace {
 
-/// News is sent this many times the logarithm of the cluster's size.
+/// Each update is sent this many times the binary logarithm of the cluster
+/// size.
 constexpr double transmission_factor = 3.0;
 constexpr std::size_t members_per_message = 8;
 constexpr std::size_t leaders_per_message = 16;
 
-bool overrides(const wire::Member &news, const wire::Member &known) {
-  if (news.incarnation() != known.incarnation()) {
-    return news.incarnation() > known.incarnation();
+bool overrides(const wire::Member &update, const wire::Member &known) {
+  if (update.incarnation() != known.incarnation()) {
+    return update.incarnation() > known.incarnation();
   }
-  if (news.status() != known.status()) {
-    return news.status() > known.status();
+  if (update.status() != known.status()) {
+    return update.status() > known.status();
   }
-  return news.leaving() && !known.leaving();
+  return update.leaving() && !known.leaving();
 }
 
 logging::event event_of(wire::MemberStatus status) {
@@ -45,16 +46,16 @@
   return stable_hash({reinterpret_cast<const char *>(key.data()), sizeof key});
 }
 
-/// Takes the news that was sent least often so far, and counts it as sent.
+/// Takes the items that were sent least often and counts them as sent.
 template <typename Key, typename Item>
-std::vector<Item> take_news(std::map<Key, rumor<Item>> &rumors,
-                            std::size_t most) {
+std::vector<Item> take_gossip(std::map<Key, rumor<Item>> &rumors,
+                              std::size_t max_count) {
   std::vector<Key> keys;
   keys.reserve(rumors.size());
   for (const auto &[key, each] : rumors) {
     keys.push_back(key);
   }
-  const std::size_t count = std::min(most, keys.size());
+  const std::size_t count = std::min(max_count, keys.size());
   std::partial_sort(keys.begin(),
                     keys.begin() + static_cast<std::ptrdiff_t>(count),
                     keys.end(), [&rumors](const Key &left, const Key &right) {
@@ -64,9 +65,9 @@
   keys.resize(count);
   std::vector<Item> taken;
   for (const Key &key : keys) {
-    rumor<Item> &spreading = rumors.at(key);
-    taken.push_back(spreading.item);
-    if (--spreading.transmissions_left == 0) {
+    rumor<Item> &next_rumor = rumors.at(key);
+    taken.push_back(next_rumor.item);
+    if (--next_rumor.transmissions_left == 0) {
       rumors.erase(key);
     }
   }
@@ -76,7 +77,7 @@
 } // namespace
 
 member_table::member_table(wire::Member self) : self_id_(self.node()) {
-  spread(self);
+  enqueue_gossip(self);
   members_[self_id_].member = std::move(self);
 }
 
@@ -84,42 +85,44 @@
   return members_.at(self_id_).member;
 }
 
-void member_table::merge(const wire::Member &news, effects::step &step) {
-  const node_id node{news.node()};
+void member_table::merge(const wire::Member &update, effects::step &step) {
+  const node_id node{update.node()};
   if (node == self_id_) {
     wire::Member &own = members_.at(self_id_).member;
-    const bool about_this_boot = news.boot() == own.boot();
-    if (!about_this_boot && news.incarnation() > own.incarnation()) {
-      step.log(logging::event::duplicate_node_name,
-               fmt::format("another process runs as {}", own.name()));
+    const bool about_this_boot = update.boot() == own.boot();
+    if (!about_this_boot && update.incarnation() > own.incarnation()) {
+      step.log(
+          logging::event::duplicate_node_name,
+          fmt::format("another process uses the node name {}", own.name()));
       return;
     }
-    const bool wrong = about_this_boot && news.status() != own.status() &&
-                       news.incarnation() >= own.incarnation();
-    if (wrong) {
-      own.set_incarnation(news.incarnation() + 1);
-      spread(own);
+    const bool needs_refutation = about_this_boot &&
+                                  update.status() != own.status() &&
+                                  update.incarnation() >= own.incarnation();
+    if (needs_refutation) {
+      own.set_incarnation(update.incarnation() + 1);
+      enqueue_gossip(own);
       step.log(logging::event::member_refuted, own.name());
     }
     return;
   }
   const auto known = members_.find(node);
-  if (known != members_.end() && !overrides(news, known->second.member)) {
+  if (known != members_.end() && !overrides(update, known->second.member)) {
     return;
   }
-  const bool fresh = known == members_.end();
-  if (fresh && news.status() >= wire::MEMBER_DEAD) {
-    return; // nothing to learn from a member that is gone already
+  const bool is_new = known == members_.end();
+  if (is_new && update.status() >= wire::MEMBER_DEAD) {
+    return; // a member that is already gone need not be tracked
   }
   const bool status_changed =
-      fresh || known->second.member.status() != news.status();
+      is_new || known->second.member.status() != update.status();
   member_state &state = members_[node];
-  state.member = news;
+  state.member = update;
   if (status_changed) {
     state.status_since = step.now();
-    step.log(event_of(news.status()), news.name());
+    step.log(event_of(update.status()), update.name());
   }
-  spread(news);
+  enqueue_gossip(update);
 }
 
 void member_table::set_status(node_id node, wire::MemberStatus status,
@@ -130,7 +133,7 @@
   }
   found->second.member.set_status(status);
   found->second.status_since = step.now();
-  spread(found->second.member);
+  enqueue_gossip(found->second.member);
   step.log(event_of(status), found->second.member.name());
 }
 
@@ -138,14 +141,14 @@
   wire::Member &own = members_.at(self_id_).member;
   own.set_leaving(true);
   own.set_incarnation(own.incarnation() + 1);
-  spread(own);
+  enqueue_gossip(own);
 }
 
 void member_table::set_self_left(effects::step & /*step*/) {
   wire::Member &own = members_.at(self_id_).member;
   own.set_status(wire::MEMBER_LEFT);
   own.set_incarnation(own.incarnation() + 1);
-  spread(own);
+  enqueue_gossip(own);
 }
 
 void member_table::record_configuration_revision(node_id node,
@@ -240,11 +243,12 @@
 }
 
 void member_table::attach_gossip(wire::Envelope &envelope) {
-  for (wire::Member &member : take_news(member_rumors_, members_per_message)) {
+  for (wire::Member &member :
+       take_gossip(member_rumors_, members_per_message)) {
     *envelope.add_members() = std::move(member);
   }
   for (wire::LeaderHint &hint :
-       take_news(leader_rumors_, leaders_per_message)) {
+       take_gossip(leader_rumors_, leaders_per_message)) {
     *envelope.add_leaders() = std::move(hint);
   }
 }
@@ -264,7 +268,7 @@
   return sync;
 }
 
-void member_table::spread(const wire::Member &member) {
+void member_table::enqueue_gossip(const wire::Member &member) {
   member_rumors_[node_id{member.node()}] = {member, transmissions()};
 }
 
@@ -291,12 +295,12 @@
             });
   std::set<std::string> zones(taken.begin(), taken.end());
   std::vector<const wire::Member *> chosen;
-  std::vector<const wire::Member *> passed_over;
+  std::vector<const wire::Member *> repeated_zone;
   for (const auto &[weight, member] : ranked) {
     const bool new_zone = zones.insert(member->zone()).second;
-    (new_zone ? chosen : passed_over).push_back(member);
+    (new_zone ? chosen : repeated_zone).push_back(member);
   }
-  chosen.insert(chosen.end(), passed_over.begin(), passed_over.end());
+  chosen.insert(chosen.end(), repeated_zone.begin(), repeated_zone.end());
   if (chosen.size() > count) {
     chosen.resize(count);
   }
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -1,8 +1,8 @@
-// The members of the region as this node believes them to be, the founding
-// record and the latest known leader of every partition.
+// The members of the region as this node sees them, the cluster's founding
+// record, and the latest known leader of each partition.
 //
-// All of it serves liveness only: a wrong belief delays work and is corrected
-// by gossip; safety rests on terms and quorums.
+// This state affects liveness only: an outdated view delays work until gossip
+// corrects it, while safety rests on terms and quorums.
 #pragma once
 
 #include "base/ids.hpp"
@@ -17,14 +17,15 @@
 
 namespace heathtrestle::membership {
 
-/// A member with what only this node knows of it.
+/// A member, with information that is local to this node.
 struct member_state {
   wire::Member member;
   timestamp status_since{};
   std::uint64_t configuration_revision = 0;
 };
 
-/// News that travels along with other messages until it was sent often enough.
+/// An update that is piggybacked on outgoing messages a limited number of
+/// times.
 template <typename Item> struct rumor {
   Item item;
   std::uint32_t transmissions_left = 0;
@@ -38,11 +39,12 @@
   [[nodiscard]] node_id self_id() const { return self_id_; }
   [[nodiscard]] replica_id self_replica() const { return replica_of(self()); }
 
-  /// Takes in news of a member; a later incarnation beats an earlier one, and
-  /// of the same incarnation the worse status wins.
-  void merge(const wire::Member &news, effects::step &step);
+  /// Applies an update about a member: a later incarnation overrides an earlier
+  /// one, and within an incarnation the worse status wins. Refutes a wrong
+  /// status of this node with a higher incarnation.
+  void merge(const wire::Member &update, effects::step &step);
 
-  /// Changes a member's status as seen from here and spreads the news.
+  /// Changes a member's status in this node's view and gossips the change.
   void set_status(node_id node, wire::MemberStatus status, effects::step &step);
   void set_self_leaving(effects::step &step);
   void set_self_left(effects::step &step);
@@ -54,15 +56,17 @@
   }
   /// @return null when the node is not known.
   [[nodiscard]] const member_state *find(node_id node) const;
-  /// True when this very process is believed to run.
+  /// True when `replica` is the member's present process and is alive or
+  /// suspected.
   [[nodiscard]] bool is_running(const replica_id &replica) const;
-  /// Members alive or suspected, this node among them.
+  /// Members that are alive or suspected, including this node.
   [[nodiscard]] std::vector<const wire::Member *> running() const;
   [[nodiscard]] std::size_t running_count() const;
-  /// Forgets members that have been dead or gone for longer than `age`.
+  /// Removes members that have been dead or left for longer than `age`.
   void remove_dead_members(duration_ms age, timestamp now);
 
-  /// @return true when the hint was news.
+  /// Applies a leader hint unless one of the same or a later term is known.
+  /// @return true when the hint was applied.
   bool merge(const wire::LeaderHint &hint);
   [[nodiscard]] std::optional<wire::LeaderHint>
   leader_of(partition_id partition) const;
@@ -76,13 +80,13 @@
   [[nodiscard]] std::vector<replica_id>
   founding_voters(partition_id partition) const;
 
-  /// Adds news to an outgoing message and counts it as sent.
+  /// Piggybacks pending gossip on an outgoing message and counts it as sent.
   void attach_gossip(wire::Envelope &envelope);
-  /// Everything, for a member that joins.
+  /// The members, the leaders and the founding record, for a full sync.
   [[nodiscard]] wire::MembershipSync full_sync(bool reply_wanted) const;
 
 private:
-  void spread(const wire::Member &member);
+  void enqueue_gossip(const wire::Member &member);
   [[nodiscard]] std::uint32_t transmissions() const;
 
   node_id self_id_;
@@ -93,8 +97,8 @@
   std::map<partition_id, rumor<wire::LeaderHint>> leader_rumors_;
 };
 
-/// The members that should hold a partition, best first: rendezvous hashing,
-/// members of zones not yet taken before others.
+/// Ranks the members that should hold a partition by rendezvous hashing;
+/// members of zones without a replica come first.
 /// @param taken zones that already hold a replica.
 std::vector<const wire::Member *>
 rank_for_partition(partition_id partition,
--- a/tests/membership/member_table_test.cpp
+++ b/tests/membership/member_table_test.cpp
@@ -13,16 +13,16 @@
 
 class member_table_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(member_table_test);
-  CPPUNIT_TEST(worse_news_of_the_same_incarnation_wins);
-  CPPUNIT_TEST(a_wrong_death_is_refuted);
-  CPPUNIT_TEST(a_restart_is_another_process);
+  CPPUNIT_TEST(worse_status_of_the_same_incarnation_wins);
+  CPPUNIT_TEST(false_death_is_refuted);
+  CPPUNIT_TEST(restarted_process_is_another_replica);
   CPPUNIT_TEST(an_older_leader_does_not_replace_a_newer);
   CPPUNIT_TEST(replicas_spread_over_zones);
-  CPPUNIT_TEST(placement_moves_little_when_a_member_leaves);
+  CPPUNIT_TEST(few_replicas_move_when_a_member_leaves);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void worse_news_of_the_same_incarnation_wins() {
+  void worse_status_of_the_same_incarnation_wins() {
     member_table table(make_member("self", "z1"));
     tests::step_fixture fixture;
     wire::Member other = make_member("other", "z2");
@@ -37,7 +37,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.running_count());
   }
 
-  void a_wrong_death_is_refuted() {
+  void false_death_is_refuted() {
     member_table table(make_member("self", "z1"));
     tests::step_fixture fixture;
     wire::Member rumor = table.self();
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(table.self().status() == wire::MEMBER_ALIVE);
   }
 
-  void a_restart_is_another_process() {
+  void restarted_process_is_another_replica() {
     member_table table(make_member("self", "z1"));
     tests::step_fixture fixture;
     wire::Member other = make_member("other", "z2", 1);
@@ -87,7 +87,7 @@
     }
   }
 
-  void placement_moves_little_when_a_member_leaves() {
+  void few_replicas_move_when_a_member_leaves() {
     std::vector<wire::Member> members = make_members(30, 3);
     std::size_t moved = 0;
     constexpr std::uint32_t partitions = 200;
@@ -102,7 +102,7 @@
         moved += stays ? 0 : 1;
       }
     }
-    // Only what the one that left held: about a thirtieth of 600 replicas.
+    // Only the replicas of the removed member move: about a thirtieth of 600.
     CPPUNIT_ASSERT(moved < 60);
   }
 
