--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -1,5 +1,5 @@
 // Errors of the daemon and its tools: a code, the step and the peer at which
-// the error arose, whether the request ran, and when to come back.
+// the error occurred, whether the request was executed, and when to retry.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 namespace heathtrestle {
 
-/// What went wrong, in a form that callers may rely on.
+/// Stable error codes that callers may rely on.
 enum class error_code : std::uint8_t {
   invalid_request,
   not_found,
@@ -44,7 +44,7 @@
   std::string step;
   std::string peer;
   ran_status ran = ran_status::not_run;
-  /// When a retry may help; zero when a retry does not help.
+  /// Delay after which a retry may succeed; zero when a retry does not help.
   std::chrono::milliseconds retry_after{0};
 
   [[nodiscard]] bool retryable() const { return retry_after.count() > 0; }
--- a/src/base/ids.hpp
+++ b/src/base/ids.hpp
@@ -15,18 +15,19 @@
 using boot_id = typed_id<std::uint64_t, struct boot_id_tag>;
 /// A partition of the key space, from 0 to the founding partition count - 1.
 using partition_id = typed_id<std::uint32_t, struct partition_id_tag>;
-/// A leader's term in one partition; the fencing token of all its orders.
+/// A leader's term in one partition; the fencing token of its commands.
 using term_id = typed_id<std::uint64_t, struct term_id_tag>;
 /// A position in a partition's log; the first entry has index 1.
 using log_index = typed_id<std::uint64_t, struct log_index_tag>;
-/// A program, as its creator was told it.
+/// A program, by the id that its creator received.
 using program_id = typed_id<std::string, struct program_id_tag>;
 /// A back end by its configured name.
 using backend_id = typed_id<std::string, struct backend_id_tag>;
 /// A tenant by its configured name.
 using tenant_id = typed_id<std::string, struct tenant_id_tag>;
 
-/// One process that may vote: a restart without its log is another replica.
+/// One voting process; a process that restarts without its log is a different
+/// replica.
 struct replica_id {
   node_id node;
   boot_id boot;
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -6,12 +6,12 @@
 
 namespace heathtrestle {
 
-/// 64 random bits, for numbers that must not repeat from one process to another
-/// or that nobody may guess. Too slow for what is drawn for each request.
+/// @return 64 random bits, for numbers that must be unique across processes or
+/// unpredictable. Too slow to call for every request.
 inline std::uint64_t draw_system_random() {
-  constexpr unsigned bits_a_draw = 32;
+  constexpr unsigned bits_per_draw = 32;
   std::random_device device;
-  return (static_cast<std::uint64_t>(device()) << bits_a_draw) | device();
+  return (static_cast<std::uint64_t>(device()) << bits_per_draw) | device();
 }
 
 } // namespace heathtrestle
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,5 +1,5 @@
-// Time as the reducer sees it: milliseconds of a monotonic clock, handed in
-// with each event so that tests, replay and the simulator can set it.
+// Time types: milliseconds of a monotonic clock. The reducer receives the time
+// with each event, so that tests, replay and the simulator can set it.
 #pragma once
 
 #include <chrono>
--- a/src/base/typed_id.hpp
+++ b/src/base/typed_id.hpp
@@ -13,7 +13,8 @@
 
 namespace heathtrestle {
 
-/// An identifier holding a `Value`, told apart from others by its `Tag`.
+/// An identifier holding a `Value`, distinguished from other kinds by its
+/// `Tag`.
 template <typename Value, typename Tag> class typed_id {
 public:
   using value_type = Value;
--- a/src/logging/event_catalogue.hpp
+++ b/src/logging/event_catalogue.hpp
@@ -1,5 +1,5 @@
-// The numbered events that daemons log. docs/EVENTS.md explains each of them;
-// a test holds the two together.
+// The numbered events that daemons log. docs/EVENTS.md explains each of them; a
+// test checks that the two agree.
 #pragma once
 
 #include <array>
@@ -219,7 +219,7 @@
     event_row{event::record_node_load, "record_node_load", severity::info},
 };
 
-/// The catalogue's row of an event.
+/// @return the catalogue's row of an event; the first row for an unknown one.
 constexpr const event_row &row_of(event number) {
   for (const event_row &row : event_table) {
     if (row.number == number) {
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,10 +1,10 @@
-// Structured logging: one JSON object a line, built with fmt.
+// Structured logging: one JSON object per line.
 //
-// The volume is bounded: beyond a number of lines a second, lines are dropped
-// and counted, and the count is told once the second is over. Lines of severity
-// warning and above have an allowance of their own, so that a flood of ordinary
-// lines does not hide a failure. A sink that does not take a line at once
-// loses it: logging never blocks.
+// The volume is bounded: lines beyond a number per second are dropped, and
+// their count is logged once the second is over. Lines of severity warning and
+// above have a limit of their own, so that a flood of ordinary lines does not
+// hide a failure. Logging never blocks: a line that the sink does not accept at
+// once is lost.
 #pragma once
 
 #include "logging/event_catalogue.hpp"
@@ -18,29 +18,31 @@
 
 namespace heathtrestle::logging {
 
-/// Where lines go.
+/// The standard stream that lines are written to.
 enum class sink : std::uint8_t { standard_error, standard_output };
 
-/// Lines a second that are written at most; 0 means no bound.
+/// The maximum number of lines per second; 0 means no bound.
 struct volume_limit {
   std::uint32_t ordinary = 0;
   std::uint32_t warnings = 0;
 };
 
-/// Sets what every line carries and the least severity that is written.
+/// Sets the component name in every line, the minimum severity, the sink and
+/// the volume limit.
 /// @param component the program's or the node's name.
-void configure(std::string_view component, severity least,
+void configure(std::string_view component, severity min_severity,
                sink output = sink::standard_error, volume_limit limit = {});
 
-/// Changes the least severity that is written.
-void set_min_severity(severity least);
+/// Changes the minimum severity that is written.
+void set_min_severity(severity min_severity);
 
 /// @return the severity named "debug", "info", "warning" or "error"; `info`
 /// for any other name.
 severity severity_from(std::string_view name);
 std::string_view name_of(severity level);
 
-/// Lines dropped since the start because of the bound or of a full sink.
+/// Number of lines dropped since the start because of the volume limit or a
+/// full sink.
 std::uint64_t dropped_lines();
 
 /// Writes one event. Safe to call from any thread.
