--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -1,4 +1,4 @@
-// The adapter against recorded bytes of the platform's documents.
+// Tests the adapter with recorded documents of the platform.
 #include "documents.hpp"
 #include "names.hpp"
 
@@ -33,21 +33,21 @@
   CPPUNIT_TEST(a_configuration_that_lacks_a_field_names_it);
   CPPUNIT_TEST(a_field_of_another_type_is_named);
   CPPUNIT_TEST(tenants_are_read);
-  CPPUNIT_TEST(a_key_that_two_tenants_hold_is_refused);
-  CPPUNIT_TEST(damaged_tenants_are_refused);
+  CPPUNIT_TEST(duplicate_api_key_is_rejected);
+  CPPUNIT_TEST(malformed_tenants_are_rejected);
   CPPUNIT_TEST(a_replica_is_read);
   CPPUNIT_TEST(a_listing_and_its_pages_are_read);
   CPPUNIT_TEST(changes_are_read);
-  CPPUNIT_TEST(a_replica_tells_its_start_and_how_long_it_warms_up);
-  CPPUNIT_TEST(an_entry_of_another_writer_is_no_replica);
-  CPPUNIT_TEST(an_unreadable_entry_of_a_listing_leaves_the_others);
-  CPPUNIT_TEST(an_unreadable_change_leaves_the_others);
-  CPPUNIT_TEST(bytes_that_are_no_text_leave_the_other_entries);
-  CPPUNIT_TEST(a_page_without_its_frame_is_malformed);
-  CPPUNIT_TEST(mutations_of_one_entry_leave_the_others);
-  CPPUNIT_TEST(mutations_of_one_change_leave_the_others);
-  CPPUNIT_TEST(what_is_written_has_the_platforms_shape);
-  CPPUNIT_TEST(forged_fields_of_the_gateway_are_known);
+  CPPUNIT_TEST(start_and_warm_up_time_of_a_replica_are_read);
+  CPPUNIT_TEST(entries_that_are_not_replicas_are_rejected);
+  CPPUNIT_TEST(malformed_listing_entry_keeps_the_others);
+  CPPUNIT_TEST(malformed_change_keeps_the_others);
+  CPPUNIT_TEST(invalid_json_in_one_entry_keeps_the_others);
+  CPPUNIT_TEST(page_with_invalid_json_around_the_entries_is_malformed);
+  CPPUNIT_TEST(mutations_of_one_entry_keep_the_others);
+  CPPUNIT_TEST(mutations_of_one_change_keep_the_others);
+  CPPUNIT_TEST(written_documents_match_the_platform_format);
+  CPPUNIT_TEST(gateway_only_headers_are_listed);
   CPPUNIT_TEST_SUITE_END();
 
   static json::value with_tenants(const char *tenants) {
@@ -56,7 +56,7 @@
     return document;
   }
 
-  /// The replica's entry with other values.
+  /// The replica's document with some fields replaced.
   template <typename... Rest>
   static json::value replica_with(const char *name, json::value value,
                                   Rest &&...rest) {
@@ -78,7 +78,7 @@
   static std::string change(const std::string &name) {
     return R"({"deleted":false,"object":)" + entry(name) + "}";
   }
-  static std::string joined(const std::vector<std::string> &parts) {
+  static std::string join(const std::vector<std::string> &parts) {
     std::string all;
     for (const std::string &each : parts) {
       all += (all.empty() ? "" : ",") + each;
@@ -86,14 +86,14 @@
     return all;
   }
   static std::string listing_of(const std::vector<std::string> &entries) {
-    return R"({"items":[)" + joined(entries) +
+    return R"({"items":[)" + join(entries) +
            R"(],"has-more":false,"timestamp":530})";
   }
   static std::string changes_of(const std::vector<std::string> &changes) {
-    return R"({"events":[)" + joined(changes) + R"(],"timestamp":533})";
+    return R"({"events":[)" + join(changes) + R"(],"timestamp":533})";
   }
 
-  /// True when the page has this entry as it was written.
+  /// True when the page holds this entry undamaged.
   static bool holds(const listing_page &page, const std::string &name) {
     const auto &items = page.objects.items;
     return std::any_of(items.begin(), items.end(), [&](const auto &each) {
@@ -102,14 +102,15 @@
     });
   }
 
-  /// Some bytes changed, added, or cut off.
+  /// Changes, inserts or removes some bytes.
   static std::string mutated(std::string text, std::minstd_rand &random) {
-    constexpr std::string_view telling = "{}[]\",:\\\xff 1e";
+    constexpr std::string_view syntax_bytes = "{}[]\",:\\\xff 1e";
     const std::size_t count = 1 + random() % 4;
     for (std::size_t n = 0; n < count && !text.empty(); ++n) {
       const std::size_t at = random() % text.size();
-      const char byte = random() % 2 == 0 ? telling[random() % telling.size()]
-                                          : static_cast<char>(random() % 256);
+      const char byte = random() % 2 == 0
+                            ? syntax_bytes[random() % syntax_bytes.size()]
+                            : static_cast<char>(random() % 256);
       switch (random() % 4) {
       case 0:
         text[at] = byte;
@@ -128,7 +129,7 @@
     return text;
   }
 
-  /// Too unlike for a mutation to turn one into another.
+  /// Different enough that no mutation turns one name into another.
   inline static const std::vector<std::string> names{"amber", "birch", "cedar",
                                                      "doves", "elder"};
   static constexpr int mutations = 4000;
@@ -150,14 +151,14 @@
     CPPUNIT_ASSERT(!read.value().routes[0].open);
   }
 
-  void a_key_that_two_tenants_hold_is_refused() {
+  void duplicate_api_key_is_rejected() {
     const auto read = read_configuration(with_tenants(
         R"([{"name":"a","api-keys":["k"]},{"name":"b","api-keys":["k"]}])"));
     CPPUNIT_ASSERT(!read);
     CPPUNIT_ASSERT(describe(read.error()).find("\"b\"") != std::string::npos);
   }
 
-  void damaged_tenants_are_refused() {
+  void malformed_tenants_are_rejected() {
     for (const char *damaged :
          {R"({})", R"([{}])", R"([{"name":"a"}])",
           R"([{"name":"a","api-keys":[7]}])",
@@ -237,17 +238,18 @@
     CPPUNIT_ASSERT(!read_changes(json::parse(R"({"events":[]})")));
   }
 
-  void a_replica_tells_its_start_and_how_long_it_warms_up() {
+  void start_and_warm_up_time_of_a_replica_are_read() {
     const auto read = read_instance(
         "i", replica_with("born", 1764720000123, "cold-remaining-ms", 2500.5));
     CPPUNIT_ASSERT(read);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1764720000123}, read.value().born_ms);
     CPPUNIT_ASSERT(read.value().cold_for == duration_ms{2501});
-    const auto untold = read_instance("i", json::parse(replica_document));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, untold.value().born_ms);
+    const auto without_start =
+        read_instance("i", json::parse(replica_document));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, without_start.value().born_ms);
   }
 
-  void an_entry_of_another_writer_is_no_replica() {
+  void entries_that_are_not_replicas_are_rejected() {
     for (const char *name : {"service", "address", "zone", "version", "slots",
                              "state", "cold-remaining-ms", "sequence"}) {
       json::value lacking = json::parse(replica_document);
@@ -284,7 +286,7 @@
     CPPUNIT_ASSERT(read_instance("i", replica_with("service", "unheard-of")));
   }
 
-  void an_unreadable_entry_of_a_listing_leaves_the_others() {
+  void malformed_listing_entry_keeps_the_others() {
     for (const char *odd :
          {"7", "null", "[]", "{}", R"({"metadata":3})",
           R"({"metadata":{"revision":9}})", R"({"metadata":{"name":7}})"}) {
@@ -308,7 +310,7 @@
     }
   }
 
-  void an_unreadable_change_leaves_the_others() {
+  void malformed_change_keeps_the_others() {
     for (const char *odd : {"7", "{}", R"({"deleted":true})",
                             R"({"object":{"metadata":{"revision":9}}})"}) {
       const auto read = parse_changes(changes_of({odd, change("ash")}));
@@ -324,7 +326,7 @@
                          named.value().changes.changes.at(0).changed.name);
   }
 
-  void bytes_that_are_no_text_leave_the_other_entries() {
+  void invalid_json_in_one_entry_keeps_the_others() {
     const std::string deep = std::string(60, '[') + std::string(60, ']');
     const std::string fields = R"({"metadata":{"name":"oak","revision":5},)";
     const std::vector<std::string> named{
@@ -361,7 +363,7 @@
     }
   }
 
-  void a_page_without_its_frame_is_malformed() {
+  void page_with_invalid_json_around_the_entries_is_malformed() {
     for (const char *text :
          {"", "{", "[]", "{\"items\":[}", "{\"items\":[],\"timestamp\":",
           "{\"items\":{},\"timestamp\":4}", "\xff"}) {
@@ -370,7 +372,7 @@
     }
   }
 
-  void mutations_of_one_entry_leave_the_others() {
+  void mutations_of_one_entry_keep_the_others() {
     std::vector<std::string> entries;
     for (const std::string &name : names) {
       entries.push_back(entry(name));
@@ -390,7 +392,7 @@
     }
   }
 
-  void mutations_of_one_change_leave_the_others() {
+  void mutations_of_one_change_keep_the_others() {
     std::vector<std::string> changes;
     for (const std::string &name : names) {
       changes.push_back(change(name));
@@ -413,7 +415,7 @@
     }
   }
 
-  void what_is_written_has_the_platforms_shape() {
+  void written_documents_match_the_platform_format() {
     const json::value written =
         write_object("leader", 412, json::value("mine"), json::value());
     CPPUNIT_ASSERT(
@@ -430,7 +432,7 @@
     CPPUNIT_ASSERT(!retirement_completed(json::parse(R"({"state":"new"})")));
   }
 
-  void forged_fields_of_the_gateway_are_known() {
+  void gateway_only_headers_are_listed() {
     const forwarding::header_names names = header_names();
     const auto &own = names.gateway_only;
     for (const std::string &name :
