--- a/src/objects/object_watch.hpp
+++ b/src/objects/object_watch.hpp
@@ -20,7 +20,7 @@
 struct watch_options {
   std::string kind;
   /// How long one watch call waits for changes. A lost answer is noticed at the
-  /// end of the call or through `hint`.
+  /// end of the call, or earlier through `hint`.
   duration_ms long_poll_timeout{28000};
   /// The watch lists again when it stays behind a hinted revision for this
   /// long, not counting the pause between two calls.
@@ -36,7 +36,7 @@
   duration_ms initial_backoff{100};
   duration_ms max_backoff{1000};
   /// Returns whether to watch the store at present; empty for always. While
-  /// false, a relay keeps the copy up to date.
+  /// false, the copy changes only by what a relay sends.
   std::function<bool()> enabled;
   duration_ms enabled_check_interval{50};
   /// Returns true while the relays cannot reach the store either; empty for
@@ -183,7 +183,7 @@
   /// Since when `hinted_revision_` has been ahead of `revision_`.
   timestamp behind_since_{};
   bool known_ = false;
-  /// True from a successful listing until a watch call fails.
+  /// See `in_sync`.
   bool in_sync_ = false;
   /// True from a failed watch call until the next successful one.
   bool recovering_ = false;
