--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -159,17 +159,17 @@
     sources_.push_back(peers_.back().get());
   }
   gateway_.set_unconfirmed_everywhere(
-      [this] { return follower_.nobody_is_current(); });
+      [this] { return follower_.no_relay_is_current(); });
   const auto not_relayed = [this] { return !follower_.is_current(); };
   const auto no_relay_is_current = [this] {
-    return follower_.nobody_is_current();
+    return follower_.no_relay_is_current();
   };
   configuration_watch_.emplace(
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.configuration_kind,
-          .wanted = not_relayed,
-          .others_ask_in_vain = no_relay_is_current,
+          .enabled = not_relayed,
+          .store_down_for_others = no_relay_is_current,
           .confirm_interval =
               2 * objects::confirm_interval(settings_.key_revocation)},
       configuration_handlers());
@@ -177,9 +177,9 @@
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.instance_kind,
-          .least_interval = objects::instance_interval(settings_.drain_notice),
-          .wanted = not_relayed,
-          .others_ask_in_vain = no_relay_is_current},
+          .min_poll_interval = objects::instance_poll_interval(settings_.drain_notice),
+          .enabled = not_relayed,
+          .store_down_for_others = no_relay_is_current},
       instance_handlers());
   follower_.add(binding.configuration_kind, *configuration_watch_);
   follower_.add(binding.instance_kind, *instance_watch_);
@@ -191,9 +191,9 @@
             // Half of the limit, so that a lost answer is noticed in time. No
             // explicit confirmation is requested, since every gateway would do
             // so during an outage of the store.
-            .wait = settings_.zone_drain / 2,
-            .wanted = not_relayed,
-            .others_ask_in_vain = no_relay_is_current},
+            .long_poll_timeout = settings_.zone_drain / 2,
+            .enabled = not_relayed,
+            .store_down_for_others = no_relay_is_current},
         drain_monitor_.handlers());
     follower_.add(binding.zone_drain_kind, *drain_watch_);
   }
@@ -226,10 +226,10 @@
   options.address = advertised_rpc(settings_);
   options.seen = [this] {
     wire::SeenRevisions seen;
-    seen.set_configuration(configuration_watch_->newest_change());
-    seen.set_instances(instance_watch_->newest_change());
+    seen.set_configuration(configuration_watch_->newest_object_revision());
+    seen.set_instances(instance_watch_->newest_object_revision());
     if (drain_watch_) {
-      seen.set_zone_drains(drain_watch_->newest_change());
+      seen.set_zone_drains(drain_watch_->newest_object_revision());
     }
     return seen;
   };
@@ -374,12 +374,12 @@
   for (objects::object_watch *watch :
        {&*configuration_watch_, &*instance_watch_}) {
     asio::co_spawn(io_, watch->run(), asio::detached);
-    asio::co_spawn(io_, watch->follow_hints(), asio::detached);
+    asio::co_spawn(io_, watch->relist_when_behind(), asio::detached);
   }
-  asio::co_spawn(io_, configuration_watch_->confirm(), asio::detached);
+  asio::co_spawn(io_, configuration_watch_->confirm_periodically(), asio::detached);
   if (drain_watch_) {
     asio::co_spawn(io_, drain_watch_->run(), asio::detached);
-    asio::co_spawn(io_, drain_watch_->follow_hints(), asio::detached);
+    asio::co_spawn(io_, drain_watch_->relist_when_behind(), asio::detached);
   }
   asio::co_spawn(io_, follower_.run(), asio::detached);
   asio::co_spawn(io_, find_record_group(), asio::detached);
@@ -504,7 +504,7 @@
       .write();
   settings_.log_level = fresh->log_level;
   settings_.grace_seconds = fresh->grace_seconds;
-  logging::set_least(logging::severity_from(fresh->log_level));
+  logging::set_min_severity(logging::severity_from(fresh->log_level));
 }
 
 } // namespace
