--- a/src/routing/eligibility.hpp
+++ b/src/routing/eligibility.hpp
@@ -1,7 +1,6 @@
-// Whether a request may go to a replica at all, before any choice among those
-// that may. Every way to a replica asks here, and asks again in the instant
-// before the request is sent: the first choice, a retry, a stream that goes on
-// elsewhere.
+// Decides whether a replica is eligible for a request, before load balancing
+// selects one. Checked for the first attempt, for retries and for resumed
+// streams, and again immediately before the request is sent.
 #pragma once
 
 #include "routing/instance_directory.hpp"
@@ -14,27 +13,28 @@
 
 namespace heathtrestle::routing {
 
-/// What keeps a request from a replica.
+/// Reason why a replica is not eligible.
 enum class exclusion : std::uint8_t {
   none,
-  /// It drains, or has left.
+  /// The replica is draining or no longer listed.
   leaving,
-  /// Its zone is drained.
+  /// The replica's zone is drained.
   zone_drained,
-  /// This process has not heard yet which zones are drained.
+  /// This process has not yet received the list of drained zones.
   drains_unknown,
-  /// It lies outside the home regions of the request.
+  /// The replica is outside the home regions of the request.
   outside_home,
-  /// It has just started and has had all that it bears for now.
+  /// The replica is in slow start and has no free admission.
   warming_up,
 };
 
 std::string_view name_of(exclusion cause);
 
-/// @return the first cause against it that lasts; `warming_up` passes by itself
-/// and is decided elsewhere (`balance::slow_start`).
-/// @param place of the request in the traffic of a zone that is being drained;
-/// by default it has none, and a drained zone is closed to it.
+/// Checks the lasting reasons. `warming_up` is temporary and decided by
+/// `balance::slow_start`.
+/// @param place position of the request in the gradual drain of a zone; by
+/// default none, so that a drained zone is excluded.
+/// @return the first reason found, or `none`.
 exclusion exclusion_of(const instance &target, const residency &home,
                        const topology &places, const zone_drains &drains,
                        const drain_position &place = {});
--- a/src/routing/home_regions.hpp
+++ b/src/routing/home_regions.hpp
@@ -1,4 +1,4 @@
-// What a whole configuration says of home regions.
+// Checks of the home regions of a whole configuration.
 #pragma once
 
 #include "routing/configuration.hpp"
@@ -9,12 +9,12 @@
 
 namespace heathtrestle::routing {
 
-/// The home regions in which no zone lies. They bind all the same: a request
-/// with no other home is refused, rather than served where it may not be.
+/// Returns the configured home regions that contain no zone. They are still
+/// enforced: a request with no other home region is rejected.
 std::set<std::string> unknown_home_regions(const configuration &settings,
                                            const topology &places);
 
-/// True when every route and every tenant has the same home regions in both.
+/// True if all routes and tenants have the same home regions in both.
 bool same_home_regions(const configuration &left, const configuration &right);
 
 } // namespace heathtrestle::routing
--- a/src/routing/incarnation.cpp
+++ b/src/routing/incarnation.cpp
@@ -18,7 +18,7 @@
   by_age_.erase({known, ended.id});
   by_id_[ended.id] = ended.born_ms;
   by_age_.emplace(ended.born_ms, ended.id);
-  if (by_id_.size() > most_) {
+  if (by_id_.size() > capacity_) {
     by_id_.erase(by_age_.begin()->second);
     by_age_.erase(by_age_.begin());
   }
--- a/src/routing/incarnation.hpp
+++ b/src/routing/incarnation.hpp
@@ -1,6 +1,5 @@
-// One start of a replica. A replica that starts again keeps its id, and nothing
-// else: what was learnt of the earlier start, and what was sent to it, does not
-// hold for the later one.
+// Identifies one start of a replica. A restarted replica keeps its id, but
+// nothing learned about the earlier start or sent to it applies to the new one.
 #pragma once
 
 #include "routing/configuration.hpp"
@@ -16,33 +15,33 @@
 
 struct incarnation {
   instance_id id;
-  /// When it started, in milliseconds of the time of day; 0 where it is not
-  /// told. Then an id has one incarnation only.
+  /// Start time in milliseconds of wall-clock time; 0 if the replica does not
+  /// report it, in which case the id has a single incarnation.
   std::uint64_t born_ms = 0;
 
   auto operator<=>(const incarnation &) const = default;
 };
 
-/// How gateways name an incarnation to each other and in records: the bare id
-/// where no start is told.
+/// The name of an incarnation in messages and records: "id@born_ms", or the id
+/// if the start time is unknown.
 std::string name_of(const incarnation &start);
 
-/// The newest start of each id that has left the directory, so that an entry
-/// that arrives late does not bring an earlier one back. Bounded: the ids that
-/// started longest ago are forgotten first, for their late entries are the
-/// least likely to be still on their way.
+/// Remembers the latest start time of each id that has left the directory, so
+/// that a delayed entry does not restore an earlier incarnation. Bounded: the
+/// ids with the earliest start times are dropped first, since their delayed
+/// entries are the least likely to still arrive.
 class ended_incarnations {
 public:
-  explicit ended_incarnations(std::size_t most) : most_(most) {}
+  explicit ended_incarnations(std::size_t capacity) : capacity_(capacity) {}
 
-  /// An incarnation has left; one without a told start leaves no trace.
+  /// Adds an incarnation that has left. Ignored if its start time is unknown.
   void add(const incarnation &ended);
-  /// @return 0 when nothing is known of the id.
+  /// @return 0 if the id is unknown.
   [[nodiscard]] std::uint64_t latest_born_ms(const instance_id &id) const;
   [[nodiscard]] std::size_t size() const { return by_id_.size(); }
 
 private:
-  std::size_t most_;
+  std::size_t capacity_;
   std::map<instance_id, std::uint64_t> by_id_;
   std::set<std::pair<std::uint64_t, instance_id>> by_age_;
 };
--- a/src/routing/instance_directory.hpp
+++ b/src/routing/instance_directory.hpp
@@ -1,5 +1,5 @@
-// The replicas of all services as this gateway knows them: what the directory
-// of the operator says of each, and what this gateway saw of it itself.
+// The replicas of all services: their records in the replica directory, and
+// this gateway's own observations of each.
 #pragma once
 
 #include "balance/load_estimate.hpp"
@@ -18,7 +18,7 @@
 
 namespace heathtrestle::routing {
 
-/// What a replica says of itself.
+/// A replica's own entry in the directory.
 struct instance_record {
   instance_id id;
   service_id service;
@@ -26,10 +26,10 @@
   std::string zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  /// When this start of it began, in milliseconds of the time of day; 0 where
-  /// it is not told. A later one under the same id is another incarnation.
+  /// Start time in milliseconds of wall-clock time; 0 if not reported. A later
+  /// value under the same id is a new incarnation.
   std::uint64_t born_ms = 0;
-  /// For how much longer it was warming up when it said so.
+  /// Remaining warm-up time when the record was written.
   duration_ms cold_for{0};
 
   [[nodiscard]] incarnation start() const {
@@ -39,34 +39,34 @@
   bool operator==(const instance_record &) const = default;
 };
 
-/// Ids whose last start is remembered after they have left: a few times the
-/// replicas of a large fleet, all of which may be replaced within the time that
-/// a late entry can be on its way.
+/// Number of removed ids whose latest start time is remembered: several times
+/// the replicas of a large fleet, which may all be replaced while delayed
+/// entries are still in transit.
 inline constexpr std::size_t max_ended_incarnations = 4096;
 
-/// Tokens that an engine is taken to keep whose configuration does not tell:
-/// a few long conversations, so that a wrong guess is cheap.
+/// Assumed memory, in tokens, of an engine without a configured capacity: a few
+/// long conversations, so that a wrong assumption costs little.
 inline constexpr std::uint64_t unknown_engine_memory = 100000;
 
-/// One replica and this gateway's own view of it. Shared with the requests
-/// that are on it, which may outlast its place in the directory.
+/// One replica and this gateway's observations of it. Shared with its in-flight
+/// requests, which may outlive its directory entry.
 struct instance {
   instance_record record;
-  /// False once the directory has dropped it.
+  /// False once it was removed from the directory.
   bool listed = true;
-  /// Requests of this gateway that are on it.
+  /// In-flight requests of this gateway.
   std::uint32_t in_flight = 0;
-  /// Requests of the other gateways that were on it, as last reported.
+  /// In-flight requests of the other gateways, as last reported.
   balance::reported_load others;
-  /// Failures to reach it since it last answered.
+  /// Connection failures since its last response.
   std::uint32_t consecutive_failures = 0;
-  /// It gets new work before then only when nothing else is there.
+  /// Until then it gets new requests only if no other replica is available.
   timestamp avoid_until{};
-  /// How it answers in comparison with the others.
+  /// Response times relative to the service.
   balance::replica_speed speed;
-  /// Whether it warms up, and what this gateway sends it meanwhile.
+  /// Slow-start state, including the requests sent by this gateway.
   balance::slow_start slow_start;
-  /// What it probably keeps of prompts.
+  /// Estimated contents of its prefix cache.
   balance::prefix_view prefixes{unknown_engine_memory};
 
   [[nodiscard]] bool accepts_work() const { return listed && !record.draining; }
@@ -74,34 +74,35 @@
 
 using instance_ptr = std::shared_ptr<instance>;
 
-/// What became of a record that was handed to the directory.
+/// Result of putting a record into the directory.
 enum class put_outcome : std::uint8_t {
   unchanged,
   added,
   changed,
-  /// The id has a later start: what was seen of the earlier one is forgotten.
+  /// A later incarnation replaced the known one; its observations were
+  /// discarded.
   restarted,
-  /// Of an earlier start than one that was seen: not taken in.
+  /// Ignored: the record belongs to an earlier incarnation than a known one.
   outdated,
-  /// Tells no start although the listed one did, so the replica did not write
-  /// it: that one is in use no longer.
+  /// The record has no start time although the listed one has, so the replica
+  /// did not write it. The listed instance was removed.
   missing_start_time,
 };
 
 class instance_directory {
 public:
-  /// Takes in a record that is new or has changed.
+  /// Adds or updates a record.
   put_outcome put(instance_record record);
-  /// @return false when the instance was not known.
+  /// @return false if the instance was not listed.
   bool remove(const instance_id &id);
-  /// Replaces the whole directory by a listing.
+  /// Replaces the contents of the directory with a complete listing.
   void replace_all(std::vector<instance_record> records);
 
-  /// @return null when no instance of that id is listed.
+  /// @return null if no instance with that id is listed.
   [[nodiscard]] instance_ptr find(const instance_id &id) const;
-  /// True while this very start is listed.
+  /// True if exactly this incarnation is listed.
   [[nodiscard]] bool contains(const incarnation &start) const;
-  /// The replicas of a service, those that drain included.
+  /// The replicas of a service, including draining ones.
   [[nodiscard]] const std::vector<instance_ptr> &
   replicas_of(const service_id &service) const;
   /// The replicas of all services.
--- a/src/routing/rejected_entries.cpp
+++ b/src/routing/rejected_entries.cpp
@@ -6,9 +6,9 @@
                               const std::string &reason) {
   const auto known = reasons_.find(name);
   if (known != reasons_.end()) {
-    const bool is_news = known->second != reason;
+    const bool changed = known->second != reason;
     known->second = reason;
-    return is_news;
+    return changed;
   }
   if (reasons_.size() >= max_rejected_entries) {
     return false;
--- a/src/routing/rejected_entries.hpp
+++ b/src/routing/rejected_entries.hpp
@@ -1,6 +1,6 @@
-// Entries of the replicas' directory that cannot be used, so that each is told
-// once and not at every listing. Bounded: whoever fills the directory with
-// entries of his own must not fill the memory or the log of a gateway.
+// Remembers invalid entries of the replica directory, so that each is logged
+// once and not at every listing. Bounded, so that a writer of many invalid
+// entries cannot fill a gateway's memory or log.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,21 @@
 
 struct rejected_entry {
   std::string name;
-  /// What is wrong with it.
+  /// Why the entry is invalid.
   std::string reason;
 };
 
-/// More are neither kept nor told one by one: an operator who sees this many
-/// looks for their writer, not at each of them.
+/// Further entries are neither stored nor logged.
 inline constexpr std::size_t max_rejected_entries = 256;
 
 class rejected_entries {
 public:
-  /// @return true when it is to be told: the entry was not rejected before, or
-  /// for another reason.
+  /// Records an invalid entry.
+  /// @return true if it should be logged: it is new, or its reason has changed.
   bool record(const std::string &name, const std::string &reason);
-  /// The entry has gone, or is sound.
+  /// Removes an entry that is gone or has become valid.
   void forget(const std::string &name) { reasons_.erase(name); }
-  /// Forgets the entries that a listing lacks.
+  /// Removes all entries that are not in a listing.
   void retain_only(const std::set<std::string> &listed);
   [[nodiscard]] std::size_t size() const { return reasons_.size(); }
 
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -73,9 +73,9 @@
     credits[index] += split.services[index].weight;
     total += split.services[index].weight;
   }
-  const auto richest = std::max_element(credits.begin(), credits.end());
-  *richest -= total;
-  const auto index = static_cast<std::size_t>(richest - credits.begin());
+  const auto highest = std::max_element(credits.begin(), credits.end());
+  *highest -= total;
+  const auto index = static_cast<std::size_t>(highest - credits.begin());
   return &split.services[index].service;
 }
 
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -1,5 +1,5 @@
-// Finds the route of a request: of the routes of its host, the one with the
-// longest prefix of its path. Immutable; a new configuration makes a new table.
+// Finds the route of a request: among the routes of its host, the one with the
+// longest matching path prefix. Immutable; each configuration gets a new table.
 #pragma once
 
 #include "routing/configuration.hpp"
@@ -16,14 +16,14 @@
 
   /// @param host as the client sent it; a port and its case are ignored.
   /// @param target the request target; a query is ignored.
-  /// @return null when no route matches.
+  /// @return null if no route matches.
   [[nodiscard]] const route *find(std::string_view host,
                                   std::string_view target) const;
 
-  /// @return null when the service is not configured.
+  /// @return null if the service is not configured.
   [[nodiscard]] const service *find_service(const service_id &id) const;
 
-  /// Whose each key is.
+  /// API keys of the configured tenants.
   [[nodiscard]] const tenants::key_ring &keys() const { return keys_; }
 
   [[nodiscard]] configuration_version version() const {
@@ -39,16 +39,15 @@
   std::unordered_map<std::string, std::vector<const route *>> by_host_;
 };
 
-/// Spreads the requests of split routes over their services in proportion to
-/// the weights, as evenly in time as whole requests allow.
+/// Smooth weighted round robin: spreads the requests of a route over its
+/// services in proportion to their weights.
 class split_rotation {
 public:
-  /// @return the service of the next request. A route without services gives
-  /// null; one with a single service gives that.
+  /// @return the service of the next request; null if the route has none.
   const service_id *next(const route &split);
 
 private:
-  /// Credit of each service of a route; the richest is next.
+  /// Credit of each service by route name; the highest credit is next.
   std::unordered_map<std::string, std::vector<std::int64_t>> credits_;
 };
 
--- a/src/routing/topology.cpp
+++ b/src/routing/topology.cpp
@@ -39,14 +39,15 @@
   topology built(settings.zone);
   built.region_ = settings.region;
   for (const std::string &each : settings.zones) {
-    const std::size_t sign = each.find('=');
-    const bool whole =
-        sign != std::string::npos && sign > 0 && sign + 1 < each.size();
-    if (!whole) {
+    const std::size_t separator = each.find('=');
+    const bool well_formed = separator != std::string::npos && separator > 0 &&
+                             separator + 1 < each.size();
+    if (!well_formed) {
       return invalid("\"" + each + "\" is not of the form zone=region");
     }
-    const std::string name = each.substr(0, sign);
-    if (!built.region_by_zone_.emplace(name, each.substr(sign + 1)).second) {
+    const std::string name = each.substr(0, separator);
+    if (!built.region_by_zone_.emplace(name, each.substr(separator + 1))
+             .second) {
       return invalid("the zone \"" + name + "\" is listed twice");
     }
   }
@@ -58,7 +59,7 @@
     return invalid("node.zone \"" + built.zone_ + "\" is not in cluster.zones");
   }
   if (!built.region_.empty() && built.region_ != own->second) {
-    return invalid("node.zone lies in \"" + own->second +
+    return invalid("node.zone is in \"" + own->second +
                    "\", node.region is \"" + built.region_ + "\"");
   }
   built.region_ = own->second;
--- a/src/routing/topology.hpp
+++ b/src/routing/topology.hpp
@@ -1,6 +1,6 @@
-// Which zones there are, in which regions they lie, and how far away another
-// zone is from here. Regions are far from one another: a way there and back
-// costs a caller tens of milliseconds, and its bytes are paid for.
+// Maps zones to regions and classifies the distance of a zone from this
+// process. Traffic between regions costs tens of milliseconds per round trip
+// and is billed.
 #pragma once
 
 #include "base/error.hpp"
@@ -15,7 +15,7 @@
 
 namespace heathtrestle::routing {
 
-/// How far another place is from this process, nearest first.
+/// Distance of a zone from this process, nearest first.
 enum class locality : std::uint8_t {
   same_zone,
   same_region,
@@ -24,37 +24,38 @@
 
 std::string_view name_of(locality where);
 
-/// Where a process is, as its settings tell.
+/// Settings that locate a process.
 struct place_settings {
   std::string zone;
-  /// Empty to take it from `zones`.
+  /// Empty to derive it from `zones`.
   std::string region;
-  /// "zone=region" of each zone; empty where regions don't matter.
+  /// "zone=region" of each zone; empty if regions are not used.
   std::vector<std::string> zones;
 };
 
-/// Adds them to a program's schema.
+/// Adds the settings to a program's schema.
 void describe_places(config::settings_schema &schema, place_settings &settings);
 
 class topology {
 public:
-  /// A process that was told nothing: its zone alone, in a region without a
-  /// name. All other zones count as of that region too.
+  /// A topology without configured regions: all zones are in one unnamed
+  /// region.
   explicit topology(std::string zone = {}) : zone_(std::move(zone)) {}
 
-  /// @return `invalid_request` naming the zone without a region, the one that
-  /// stands twice, or the own zone that isn't listed or lies elsewhere.
+  /// @return `invalid_request` if an entry is malformed or a zone is listed
+  /// twice, or if the own zone is not listed or its region contradicts
+  /// `region`.
   static result<topology> from_settings(const place_settings &settings);
 
   [[nodiscard]] const std::string &zone() const { return zone_; }
   [[nodiscard]] const std::string &region() const { return region_; }
-  /// The region of a zone; empty for one that isn't listed, which is part of no
-  /// region that anybody could name as a home.
+  /// The region of a zone; empty for an unlisted zone, which therefore matches
+  /// no home region.
   [[nodiscard]] std::string region_of(const std::string &zone) const;
-  /// True for a region that some zone lies in, and for the own one.
+  /// True for the own region and any region that contains a zone.
   [[nodiscard]] bool has_region(const std::string &region) const;
   [[nodiscard]] locality locality_of(const std::string &zone) const;
-  /// True when no zone was listed: then all zones count as one region.
+  /// True if no zones are configured; all zones then count as one region.
   [[nodiscard]] bool has_one_region() const { return region_by_zone_.empty(); }
   [[nodiscard]] const std::map<std::string, std::string> &zones() const {
     return region_by_zone_;
--- a/src/routing/zone_drains.cpp
+++ b/src/routing/zone_drains.cpp
@@ -8,13 +8,14 @@
   if (drains_.contains(zone)) {
     return false;
   }
-  // What came back since the last drain is little, and no second move is worth
-  // its time.
-  const auto returned = taken_back_.find(zone);
-  const bool again =
-      returned != taken_back_.end() && now < returned->second + limit_;
-  const std::optional<timestamp> undrained = again ? std::nullopt : confirmed_;
-  taken_back_.erase(zone);
+  // Little traffic has returned since the last drain, so a repeated drain
+  // takes effect at once.
+  const auto cancelled = cancelled_at_.find(zone);
+  const bool repeated =
+      cancelled != cancelled_at_.end() && now < cancelled->second + limit_;
+  const std::optional<timestamp> undrained =
+      repeated ? std::nullopt : confirmed_;
+  cancelled_at_.erase(zone);
   drains_[zone] = {.heard = now, .shift = plan_shift(undrained, now, limit_)};
   return true;
 }
@@ -23,7 +24,7 @@
   if (drains_.erase(zone) == 0) {
     return false;
   }
-  taken_back_[zone] = now;
+  cancelled_at_[zone] = now;
   return true;
 }
 
--- a/src/routing/zone_drains.hpp
+++ b/src/routing/zone_drains.hpp
@@ -1,11 +1,11 @@
-// The zones that the operator is draining: their replicas get nothing new until
-// the operator takes the drain back. Keeps what this process has heard and how
-// old that can be; decides, and is handed the time.
+// Tracks the zones that the operator is draining; their replicas get no new
+// requests until the drain is cancelled.
 //
-// A process that hears of nothing goes by what it heard last, however old: the
-// other way, sending nothing anywhere, would turn an outage of the object store
-// into one of the whole service. Only one that has never heard sends nothing,
-// for it may have been started in the midst of a drain.
+// A process that receives no updates keeps using its last list, however old:
+// sending to no zone instead would turn an outage of the object store into one
+// of the whole service. Only a process that has never received the list sends
+// nothing, since a drain may be in progress. Pure logic; the caller passes the
+// time.
 #pragma once
 
 #include "base/time.hpp"
@@ -18,10 +18,10 @@
 
 namespace heathtrestle::routing {
 
-/// What tells the requests of a zone's traffic apart while that moves away.
+/// Position of a request in the gradual drain of a zone.
 struct drain_position {
-  /// Evenly spread over conversations. Nothing for a request that was at a
-  /// replica before: it does not go to a drained zone again.
+  /// Uniformly distributed hash of the conversation. Nothing for a retried or
+  /// resumed request, which is never sent to a drained zone again.
   std::optional<std::uint64_t> draw;
   timestamp now{};
 };
@@ -31,7 +31,7 @@
   struct drain {
     timestamp heard{};
     zone_shift shift;
-    /// True once nothing of this process runs in the zone any more.
+    /// True once no request of this process runs in the zone.
     bool idle = false;
   };
 
@@ -43,26 +43,26 @@
   bool put(const std::string &zone, timestamp now);
   /// @return true when the zone was drained before.
   bool remove(const std::string &zone, timestamp now);
-  /// The whole list was heard.
+  /// Records that the complete list was received.
   void set_known() { known_ = true; }
-  /// What is known was complete at `moment`. Earlier moments change nothing.
+  /// Records that the list was complete at `moment`. Earlier moments are
+  /// ignored.
   void confirm(timestamp moment);
 
-  /// False while nothing was heard at all, where zones are drained.
+  /// False until the list was received; always true if zones are never drained.
   [[nodiscard]] bool known() const { return limit_.count() == 0 || known_; }
   [[nodiscard]] bool drained(const std::string &zone) const {
     return drains_.contains(zone);
   }
-  /// True when a request may not go to the zone.
+  /// True if a request must not be sent to the zone.
   [[nodiscard]] bool blocks_requests(const std::string &zone,
                                      const drain_position &place) const;
   [[nodiscard]] const std::map<std::string, drain> &all() const {
     return drains_;
   }
-  /// Notes that nothing runs in a drained zone any more.
+  /// Records that no request runs in a drained zone any more.
   void set_idle(const std::string &zone);
-  /// @return how old what is known can be; nothing while it was never complete
-  /// for certain.
+  /// @return the maximum age of the list; nothing if it was never confirmed.
   [[nodiscard]] std::optional<duration_ms> age(timestamp now) const;
 
 private:
@@ -70,8 +70,8 @@
   bool known_ = false;
   std::optional<timestamp> confirmed_;
   std::map<std::string, drain> drains_;
-  /// When drains were taken back last, by zone.
-  std::map<std::string, timestamp> taken_back_;
+  /// When the last drain of each zone was cancelled.
+  std::map<std::string, timestamp> cancelled_at_;
 };
 
 } // namespace heathtrestle::routing
--- a/src/routing/zone_shift.cpp
+++ b/src/routing/zone_shift.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// What of the time limit the move itself takes at most: long enough that
-/// engines read the prompts of the expected_arrivals beside their own turns,
-/// short enough that an operator sees the zone empty soon.
-constexpr double longest_share = 0.3;
-/// By this part of the limit the zone gets nothing, whenever the drain was
-/// heard of: the rest is for requests on their way, for processes that stand
-/// still for a moment, and for clocks that run apart.
-constexpr double done_share = 0.5;
+/// Maximum share of the time limit that the shift takes: long enough for
+/// engines to read the prompts of moved conversations beside their own turns,
+/// short enough that the zone is soon empty.
+constexpr double max_shift_share = 0.3;
+/// Share of the limit after which the zone gets no traffic, whenever this
+/// process learned of the drain. The rest covers requests in transit, paused
+/// processes and clock drift.
+constexpr double deadline_share = 0.5;
 
 duration_ms part_of(duration_ms whole, double share) {
   return duration_ms{
@@ -46,8 +46,8 @@
   if (!undrained) {
     return {.begin = heard, .end = heard};
   }
-  const timestamp end = std::min(heard + part_of(limit, longest_share),
-                                 *undrained + part_of(limit, done_share));
+  const timestamp end = std::min(heard + part_of(limit, max_shift_share),
+                                 *undrained + part_of(limit, deadline_share));
   return {.begin = heard, .end = std::max(heard, end)};
 }
 
--- a/tests/routing/eligibility_test.cpp
+++ b/tests/routing/eligibility_test.cpp
@@ -7,10 +7,10 @@
 
 class eligibility_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(eligibility_test);
-  CPPUNIT_TEST(a_request_without_a_home_goes_anywhere);
-  CPPUNIT_TEST(the_homes_of_route_and_tenant_both_bind);
-  CPPUNIT_TEST(a_drained_zone_gets_nothing_until_the_drain_is_taken_back);
-  CPPUNIT_TEST(a_replica_that_leaves_gets_nothing);
+  CPPUNIT_TEST(a_request_without_home_regions_may_go_anywhere);
+  CPPUNIT_TEST(home_regions_of_route_and_tenant_both_apply);
+  CPPUNIT_TEST(a_drained_zone_is_excluded_until_the_drain_is_cancelled);
+  CPPUNIT_TEST(a_leaving_replica_is_excluded);
   CPPUNIT_TEST_SUITE_END();
 
   topology places_ =
@@ -31,13 +31,13 @@
   }
 
 public:
-  void a_request_without_a_home_goes_anywhere() {
+  void a_request_without_home_regions_may_go_anywhere() {
     for (const char *zone : {"a1", "a2", "b1", "elsewhere"}) {
       CPPUNIT_ASSERT(cause(zone, {}) == exclusion::none);
     }
   }
 
-  void the_homes_of_route_and_tenant_both_bind() {
+  void home_regions_of_route_and_tenant_both_apply() {
     const residency both{.route_regions = {"a", "b"}, .tenant_regions = {"b"}};
     CPPUNIT_ASSERT(cause("a1", both) == exclusion::outside_home);
     CPPUNIT_ASSERT(cause("b1", both) == exclusion::none);
@@ -45,15 +45,15 @@
     const residency apart{.route_regions = {"a"}, .tenant_regions = {"b"}};
     CPPUNIT_ASSERT(cause("a1", apart) == exclusion::outside_home);
     CPPUNIT_ASSERT(cause("b1", apart) == exclusion::outside_home);
-    // A zone that nobody listed is at home nowhere, not even by its name.
+    // An unlisted zone is in no region, not even one of its own name.
     const residency same_name{.route_regions = {"elsewhere"}};
     CPPUNIT_ASSERT(cause("elsewhere", same_name) == exclusion::outside_home);
-    // A region that nobody knows binds as written.
+    // An unknown region is still enforced.
     const residency unknown{.route_regions = {"nowhere"}};
     CPPUNIT_ASSERT(cause("a1", unknown) == exclusion::outside_home);
   }
 
-  void a_drained_zone_gets_nothing_until_the_drain_is_taken_back() {
+  void a_drained_zone_is_excluded_until_the_drain_is_cancelled() {
     CPPUNIT_ASSERT(drains_.put("a1", now_));
     CPPUNIT_ASSERT(!drains_.put("a1", now_));
     CPPUNIT_ASSERT(cause("a1", {}) == exclusion::zone_drained);
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(cause("a1", {}) == exclusion::none);
   }
 
-  void a_replica_that_leaves_gets_nothing() {
+  void a_leaving_replica_is_excluded() {
     instance leaving = in_zone("a1");
     leaving.record.draining = true;
     CPPUNIT_ASSERT(exclusion_of(leaving, {}, places_, drains_) ==
--- a/tests/routing/home_regions_test.cpp
+++ b/tests/routing/home_regions_test.cpp
@@ -7,8 +7,8 @@
 
 class home_regions_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(home_regions_test);
-  CPPUNIT_TEST(a_home_in_which_no_zone_lies_is_unknown);
-  CPPUNIT_TEST(only_a_change_of_homes_is_a_move);
+  CPPUNIT_TEST(a_home_region_without_zones_is_unknown);
+  CPPUNIT_TEST(only_changed_home_regions_differ);
   CPPUNIT_TEST_SUITE_END();
 
   const topology places_ =
@@ -26,18 +26,18 @@
   }
 
 public:
-  void a_home_in_which_no_zone_lies_is_unknown() {
+  void a_home_region_without_zones_is_unknown() {
     CPPUNIT_ASSERT(
         unknown_home_regions(with_homes({"a"}, {"b"}), places_).empty());
     const std::set<std::string> both{"c", "d"};
     CPPUNIT_ASSERT(
         unknown_home_regions(with_homes({"a", "c"}, {"d"}), places_) == both);
-    // A process that was told of no regions knows none by name.
+    // Without configured regions every name is unknown.
     CPPUNIT_ASSERT(
         !unknown_home_regions(with_homes({"a"}, {}), topology("a1")).empty());
   }
 
-  void only_a_change_of_homes_is_a_move() {
+  void only_changed_home_regions_differ() {
     configuration changed = with_homes({"a"}, {"b"});
     changed.routes.back().timeout = duration_ms{1};
     CPPUNIT_ASSERT(same_home_regions(with_homes({"a"}, {"b"}), changed));
--- a/tests/routing/instance_directory_test.cpp
+++ b/tests/routing/instance_directory_test.cpp
@@ -22,23 +22,23 @@
 
 class instance_directory_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(instance_directory_test);
-  CPPUNIT_TEST(only_changes_that_matter_are_told);
+  CPPUNIT_TEST(an_identical_record_is_unchanged);
   CPPUNIT_TEST(a_drained_instance_accepts_no_work);
-  CPPUNIT_TEST(a_removed_instance_is_unlisted_for_its_requests_too);
-  CPPUNIT_TEST(a_listing_drops_what_it_lacks);
-  CPPUNIT_TEST(what_was_seen_of_an_instance_survives_its_updates);
-  CPPUNIT_TEST(a_new_start_knows_nothing_of_the_one_before);
-  CPPUNIT_TEST(an_older_start_does_not_come_back);
-  CPPUNIT_TEST(an_older_start_does_not_come_back_after_a_removal);
-  CPPUNIT_TEST(the_same_start_may_come_back);
-  CPPUNIT_TEST(an_entry_that_hides_its_start_ends_the_one_known);
-  CPPUNIT_TEST(a_listing_with_an_older_start_keeps_the_newer);
-  CPPUNIT_TEST(where_no_start_is_told_an_id_is_one_instance);
-  CPPUNIT_TEST(the_memory_of_ended_starts_is_bounded);
+  CPPUNIT_TEST(a_removed_instance_accepts_no_work);
+  CPPUNIT_TEST(a_listing_removes_missing_instances);
+  CPPUNIT_TEST(observations_survive_record_updates);
+  CPPUNIT_TEST(a_new_incarnation_discards_observations);
+  CPPUNIT_TEST(an_older_incarnation_is_outdated);
+  CPPUNIT_TEST(an_older_incarnation_is_outdated_after_removal);
+  CPPUNIT_TEST(the_same_incarnation_may_return);
+  CPPUNIT_TEST(a_record_without_start_time_removes_the_instance);
+  CPPUNIT_TEST(a_listing_keeps_the_newer_incarnation);
+  CPPUNIT_TEST(without_start_times_an_id_is_one_instance);
+  CPPUNIT_TEST(ended_incarnations_are_bounded);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void only_changes_that_matter_are_told() {
+  void an_identical_record_is_unchanged() {
     instance_directory directory;
     CPPUNIT_ASSERT(put_outcome::added == directory.put(record("a", "s")));
     CPPUNIT_ASSERT(put_outcome::unchanged == directory.put(record("a", "s")));
@@ -53,7 +53,7 @@
         !directory.replicas_of(service_id{"s"}).front()->accepts_work());
   }
 
-  void a_removed_instance_is_unlisted_for_its_requests_too() {
+  void a_removed_instance_accepts_no_work() {
     instance_directory directory;
     directory.put(record("a", "s"));
     const instance_ptr held = directory.replicas_of(service_id{"s"}).front();
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(!directory.remove(instance_id{"a"}));
   }
 
-  void a_listing_drops_what_it_lacks() {
+  void a_listing_removes_missing_instances() {
     instance_directory directory;
     directory.put(record("a", "s"));
     directory.replace_all({record("b", "s")});
@@ -73,7 +73,7 @@
         directory.replicas_of(service_id{"s"}).front()->record.id.value());
   }
 
-  void what_was_seen_of_an_instance_survives_its_updates() {
+  void observations_survive_record_updates() {
     instance_directory directory;
     directory.put(record("a", "s"));
     directory.replicas_of(service_id{"s"}).front()->in_flight = 3;
@@ -84,7 +84,7 @@
         3U, directory.replicas_of(service_id{"s"}).front()->in_flight);
   }
 
-  void a_new_start_knows_nothing_of_the_one_before() {
+  void a_new_incarnation_discards_observations() {
     instance_directory directory;
     directory.put(started("a", 100));
     const instance_ptr before = directory.find(instance_id{"a"});
@@ -104,7 +104,7 @@
                          directory.replicas_of(service_id{"s"}).size());
   }
 
-  void an_older_start_does_not_come_back() {
+  void an_older_incarnation_is_outdated() {
     instance_directory directory;
     directory.put(started("a", 200));
     CPPUNIT_ASSERT(put_outcome::outdated == directory.put(started("a", 100)));
@@ -112,7 +112,7 @@
                          directory.find(instance_id{"a"})->record.born_ms);
   }
 
-  void an_older_start_does_not_come_back_after_a_removal() {
+  void an_older_incarnation_is_outdated_after_removal() {
     instance_directory directory;
     directory.put(started("a", 200));
     directory.remove(instance_id{"a"});
@@ -121,15 +121,16 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, directory.size());
   }
 
-  void the_same_start_may_come_back() {
-    // Entries lapse while the store is away, and are written again afterwards.
+  void the_same_incarnation_may_return() {
+    // Entries expire while the store is unavailable and are written again
+    // later.
     instance_directory directory;
     directory.put(started("a", 200));
     directory.remove(instance_id{"a"});
     CPPUNIT_ASSERT(put_outcome::added == directory.put(started("a", 200)));
   }
 
-  void an_entry_that_hides_its_start_ends_the_one_known() {
+  void a_record_without_start_time_removes_the_instance() {
     instance_directory directory;
     directory.put(started("a", 200));
     CPPUNIT_ASSERT(put_outcome::missing_start_time ==
@@ -137,7 +138,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, directory.size());
   }
 
-  void a_listing_with_an_older_start_keeps_the_newer() {
+  void a_listing_keeps_the_newer_incarnation() {
     instance_directory directory;
     directory.put(started("a", 200));
     directory.replace_all({started("a", 100), started("b", 100)});
@@ -146,16 +147,16 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, directory.size());
   }
 
-  void where_no_start_is_told_an_id_is_one_instance() {
+  void without_start_times_an_id_is_one_instance() {
     instance_directory directory;
     directory.put(started("a", 0));
     directory.remove(instance_id{"a"});
     CPPUNIT_ASSERT(put_outcome::added == directory.put(started("a", 0)));
-    // A replica that is updated begins to tell.
+    // An upgraded replica begins to report its start time.
     CPPUNIT_ASSERT(put_outcome::restarted == directory.put(started("a", 5)));
   }
 
-  void the_memory_of_ended_starts_is_bounded() {
+  void ended_incarnations_are_bounded() {
     ended_incarnations ended(2);
     ended.add({.id = instance_id{"a"}, .born_ms = 10});
     ended.add({.id = instance_id{"b"}, .born_ms = 30});
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -20,10 +20,10 @@
   CPPUNIT_TEST_SUITE(route_table_test);
   CPPUNIT_TEST(the_longest_prefix_of_the_host_wins);
   CPPUNIT_TEST(port_and_case_of_the_host_are_ignored);
-  CPPUNIT_TEST(a_query_is_no_part_of_the_path);
+  CPPUNIT_TEST(a_query_is_not_part_of_the_path);
   CPPUNIT_TEST(another_host_or_path_has_no_route);
   CPPUNIT_TEST(a_split_follows_its_weights);
-  CPPUNIT_TEST(a_route_without_services_leads_nowhere);
+  CPPUNIT_TEST(a_route_without_services_yields_null);
   CPPUNIT_TEST_SUITE_END();
 
   static route_table table() {
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT(table().find("A.Example:80", "/x/1") != nullptr);
   }
 
-  void a_query_is_no_part_of_the_path() {
+  void a_query_is_not_part_of_the_path() {
     CPPUNIT_ASSERT_EQUAL(std::string("a.example/x/"),
                          table().find("a.example", "/x/?to=/x/y/")->name);
   }
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(5, counts["trial"]);
   }
 
-  void a_route_without_services_leads_nowhere() {
+  void a_route_without_services_yields_null() {
     route empty = route_for("a.example", "/x/");
     empty.services.clear();
     split_rotation rotation;
--- a/tests/routing/topology_test.cpp
+++ b/tests/routing/topology_test.cpp
@@ -7,10 +7,10 @@
 
 class topology_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(topology_test);
-  CPPUNIT_TEST(zones_lie_in_their_regions);
+  CPPUNIT_TEST(zones_map_to_their_regions);
   CPPUNIT_TEST(without_a_list_all_zones_are_one_region);
-  CPPUNIT_TEST(a_zone_that_is_not_listed_is_in_no_region);
-  CPPUNIT_TEST(settings_that_contradict_each_other_are_refused);
+  CPPUNIT_TEST(an_unlisted_zone_is_in_no_region);
+  CPPUNIT_TEST(contradictory_settings_are_rejected);
   CPPUNIT_TEST_SUITE_END();
 
   static std::string error_of(const place_settings &settings) {
@@ -19,7 +19,7 @@
   }
 
 public:
-  void zones_lie_in_their_regions() {
+  void zones_map_to_their_regions() {
     const auto read = topology::from_settings(
         {.zone = "a1", .zones = {"a1=a", "a2=a", "b1=b"}});
     CPPUNIT_ASSERT(read);
@@ -38,14 +38,14 @@
     CPPUNIT_ASSERT(places.locality_of("b1") == locality::same_region);
   }
 
-  void a_zone_that_is_not_listed_is_in_no_region() {
+  void an_unlisted_zone_is_in_no_region() {
     const auto read =
         topology::from_settings({.zone = "a1", .zones = {"a1=a", "b1=b"}});
     CPPUNIT_ASSERT(read.value().locality_of("c1") == locality::other_region);
     CPPUNIT_ASSERT_EQUAL(std::string(), read.value().region_of("c1"));
   }
 
-  void settings_that_contradict_each_other_are_refused() {
+  void contradictory_settings_are_rejected() {
     const auto names = [](const std::string &error, const char *what) {
       return error.find(what) != std::string::npos;
     };
--- a/tests/routing/zone_drains_test.cpp
+++ b/tests/routing/zone_drains_test.cpp
@@ -1,4 +1,5 @@
-// What a process knows of drained zones, and what it does while it cannot know.
+// Guards against sending requests to a drained zone, also with an old or
+// missing list.
 #include "routing/zone_drains.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,21 +11,21 @@
 
 class zone_drains_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(zone_drains_test);
-  CPPUNIT_TEST(nothing_is_known_before_the_list_was_heard);
-  CPPUNIT_TEST(where_zones_are_not_drained_nothing_is_asked_for);
-  CPPUNIT_TEST(a_drain_that_was_there_at_the_start_is_in_force_at_once);
-  CPPUNIT_TEST(a_conversation_under_way_moves_within_the_limit);
-  CPPUNIT_TEST(what_was_at_a_replica_before_does_not_return);
-  CPPUNIT_TEST(what_was_heard_last_holds_however_old);
-  CPPUNIT_TEST(a_drain_that_is_taken_back_while_traffic_moves);
-  CPPUNIT_TEST(a_zone_that_is_drained_again_moves_at_once);
-  CPPUNIT_TEST(several_zones_are_drained_apart);
+  CPPUNIT_TEST(drains_are_unknown_before_the_list_is_received);
+  CPPUNIT_TEST(drains_are_known_if_zones_are_never_drained);
+  CPPUNIT_TEST(a_drain_at_startup_applies_at_once);
+  CPPUNIT_TEST(active_conversations_move_within_the_limit);
+  CPPUNIT_TEST(retried_requests_avoid_the_drained_zone);
+  CPPUNIT_TEST(the_last_list_applies_regardless_of_age);
+  CPPUNIT_TEST(a_drain_can_be_cancelled_during_the_shift);
+  CPPUNIT_TEST(a_repeated_drain_applies_at_once);
+  CPPUNIT_TEST(zones_are_drained_independently);
   CPPUNIT_TEST_SUITE_END();
 
   zone_drains drains_{limit};
   const timestamp now_ = timestamp_from(100000);
 
-  /// Whether the conversation that leaves last may go to the zone.
+  /// Whether the last conversation to move may still go to the zone.
   bool open_to_last(const std::string &zone, timestamp now) const {
     return !drains_.blocks_requests(zone, {.draw = 0, .now = now});
   }
@@ -39,33 +40,33 @@
     drains_.confirm(now_ - duration_ms{200});
   }
 
-  void nothing_is_known_before_the_list_was_heard() {
+  void drains_are_unknown_before_the_list_is_received() {
     CPPUNIT_ASSERT(!zone_drains(limit).known());
     CPPUNIT_ASSERT(drains_.known());
   }
 
-  void where_zones_are_not_drained_nothing_is_asked_for() {
+  void drains_are_known_if_zones_are_never_drained() {
     CPPUNIT_ASSERT(zone_drains().known());
   }
 
-  void a_drain_that_was_there_at_the_start_is_in_force_at_once() {
+  void a_drain_at_startup_applies_at_once() {
     zone_drains started(limit);
     started.put("a", now_);
     CPPUNIT_ASSERT(started.blocks_requests("a", {.draw = 0, .now = now_}));
   }
 
-  void a_conversation_under_way_moves_within_the_limit() {
+  void active_conversations_move_within_the_limit() {
     drains_.put("a", now_);
     CPPUNIT_ASSERT(open_to_last("a", now_ + duration_ms{100}));
     CPPUNIT_ASSERT(!open_to_any("a", now_ + limit / 2));
   }
 
-  void what_was_at_a_replica_before_does_not_return() {
+  void retried_requests_avoid_the_drained_zone() {
     drains_.put("a", now_);
     CPPUNIT_ASSERT(drains_.blocks_requests("a", {.draw = {}, .now = now_}));
   }
 
-  void what_was_heard_last_holds_however_old() {
+  void the_last_list_applies_regardless_of_age() {
     drains_.put("a", now_);
     const timestamp much_later = now_ + 100 * limit;
     CPPUNIT_ASSERT(!open_to_any("a", much_later));
@@ -73,7 +74,7 @@
     CPPUNIT_ASSERT(drains_.age(much_later) > 100 * limit);
   }
 
-  void a_drain_that_is_taken_back_while_traffic_moves() {
+  void a_drain_can_be_cancelled_during_the_shift() {
     drains_.put("a", now_);
     CPPUNIT_ASSERT(drains_.remove("a", now_ + duration_ms{300}));
     CPPUNIT_ASSERT(!drains_.blocks_requests(
@@ -81,14 +82,14 @@
     CPPUNIT_ASSERT(!drains_.remove("a", now_ + duration_ms{400}));
   }
 
-  void a_zone_that_is_drained_again_moves_at_once() {
+  void a_repeated_drain_applies_at_once() {
     drains_.put("a", now_);
     const timestamp back = now_ + 10 * limit;
     drains_.remove("a", back);
     drains_.confirm(back);
     drains_.put("a", back + duration_ms{500});
     CPPUNIT_ASSERT(!open_to_any("a", back + duration_ms{500}));
-    // Once its traffic has returned, that moves as the first time.
+    // Once its traffic has returned, a drain is gradual again.
     drains_.remove("a", back + duration_ms{600});
     const timestamp later = back + 4 * limit;
     drains_.confirm(later);
@@ -96,7 +97,7 @@
     CPPUNIT_ASSERT(open_to_last("a", later));
   }
 
-  void several_zones_are_drained_apart() {
+  void zones_are_drained_independently() {
     drains_.put("a", now_);
     drains_.put("b", now_ + duration_ms{100});
     const timestamp moved = now_ + limit;
--- a/tests/routing/zone_shift_test.cpp
+++ b/tests/routing/zone_shift_test.cpp
@@ -1,5 +1,5 @@
-// When the traffic of a drained zone moves, and what that does to the engines
-// that it moves to.
+// Guards against a traffic shift that overloads the remaining engines or ends
+// late.
 #include "routing/zone_shift.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -22,7 +22,7 @@
 constexpr double turns_of_conversation = 15;
 constexpr double pause_ms = 400;
 constexpr double drained_at_ms = 10000;
-constexpr double watched_ms = 3000;
+constexpr double observed_ms = 3000;
 
 /// A conversation whose next turn is due.
 struct due_turn {
@@ -35,23 +35,22 @@
 };
 
 struct outcome {
-  /// How long turns waited for an engine to begin to read their prompts, in
-  /// the time after the drain.
+  /// Mean wait of turns for the start of prefill after the drain.
   double mean_wait_ms = 0;
-  /// Of a hundred turns, the one that waited longest.
+  /// 99th percentile of the wait.
   double high_wait_ms = 0;
 };
 
-/// Plays conversations that stay at the engine that keeps their prompts, and
-/// leave it by `shift`; engines read one prompt after the other.
+/// Simulates conversations that stay at the engine that caches their prompts
+/// until `shift` moves them. Engines read one prompt at a time.
 class fleet {
 public:
   explicit fleet(zone_shift shift) : shift_(shift) {}
 
-  outcome play() {
+  outcome simulate() {
     std::exponential_distribution<double> gap(conversations_per_second / 1000);
     double next_ms = gap(random_);
-    while (next_ms < drained_at_ms + watched_ms) {
+    while (next_ms < drained_at_ms + observed_ms) {
       while (!due_.empty() && due_.top().at_ms <= next_ms) {
         const due_turn turn = due_.top();
         due_.pop();
@@ -66,17 +65,17 @@
   }
 
 private:
-  bool barred(const due_turn &turn, std::size_t engine) const {
+  bool is_blocked(const due_turn &turn, std::size_t engine) const {
     const auto now = timestamp_from(static_cast<std::uint64_t>(turn.at_ms));
     return engine < drained_engines && turn.at_ms >= drained_at_ms &&
            !shift_.keeps(turn.draw, now);
   }
 
-  /// The less busy of two engines that are drawn.
+  /// The less busy of two random engines.
   std::size_t engine_for(const due_turn &turn) {
     const auto draw = [&] {
       std::size_t engine = random_() % engine_count;
-      while (barred(turn, engine)) {
+      while (is_blocked(turn, engine)) {
         engine = random_() % engine_count;
       }
       return engine;
@@ -88,7 +87,7 @@
 
   void run(due_turn turn) {
     double missing = new_tokens;
-    if (barred(turn, turn.engine)) {
+    if (is_blocked(turn, turn.engine)) {
       turn.engine = engine_for(turn);
       missing += turn.history;
     }
@@ -128,18 +127,18 @@
 
 class zone_shift_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(zone_shift_test);
-  CPPUNIT_TEST(the_share_falls_to_nothing);
-  CPPUNIT_TEST(a_conversation_that_left_stays_away);
-  CPPUNIT_TEST(who_cannot_know_since_when_moves_everything_at_once);
-  CPPUNIT_TEST(who_heard_late_has_less_time);
-  CPPUNIT_TEST(the_zone_is_empty_well_within_the_limit);
-  CPPUNIT_TEST(moving_one_after_the_other_queues_less);
+  CPPUNIT_TEST(the_share_falls_to_zero);
+  CPPUNIT_TEST(a_moved_conversation_does_not_return);
+  CPPUNIT_TEST(moves_at_once_if_the_start_is_unknown);
+  CPPUNIT_TEST(a_late_notice_leaves_less_time);
+  CPPUNIT_TEST(the_zone_is_empty_within_half_of_the_limit);
+  CPPUNIT_TEST(a_gradual_shift_reduces_waiting);
   CPPUNIT_TEST_SUITE_END();
 
   const timestamp heard_ = timestamp_from(100000);
 
 public:
-  void the_share_falls_to_nothing() {
+  void the_share_falls_to_zero() {
     const zone_shift shift{.begin = heard_, .end = heard_ + duration_ms{1000}};
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, shift.remaining(heard_), 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(
@@ -148,7 +147,7 @@
     CPPUNIT_ASSERT(!shift.keeps(0, shift.end));
   }
 
-  void a_conversation_that_left_stays_away() {
+  void a_moved_conversation_does_not_return() {
     const zone_shift shift{.begin = heard_, .end = heard_ + duration_ms{1000}};
     std::mt19937_64 random(1);
     for (int each = 0; each < 100; ++each) {
@@ -163,12 +162,12 @@
     }
   }
 
-  void who_cannot_know_since_when_moves_everything_at_once() {
+  void moves_at_once_if_the_start_is_unknown() {
     const zone_shift shift = plan_shift(std::nullopt, heard_, limit);
     CPPUNIT_ASSERT(!shift.keeps(0, heard_));
   }
 
-  void who_heard_late_has_less_time() {
+  void a_late_notice_leaves_less_time() {
     const zone_shift soon =
         plan_shift(heard_ - duration_ms{200}, heard_, limit);
     const zone_shift late =
@@ -178,7 +177,7 @@
     CPPUNIT_ASSERT(!too_late.keeps(0, heard_));
   }
 
-  void the_zone_is_empty_well_within_the_limit() {
+  void the_zone_is_empty_within_half_of_the_limit() {
     for (int age_ms = 0; age_ms < 2500; age_ms += 50) {
       const timestamp undrained = heard_ - duration_ms{age_ms};
       const zone_shift shift = plan_shift(undrained, heard_, limit);
@@ -186,12 +185,13 @@
     }
   }
 
-  // A third of the engines leaves while all are in usual use.
-  void moving_one_after_the_other_queues_less() {
+  // Drains a third of the engines under normal load.
+  void a_gradual_shift_reduces_waiting() {
     const timestamp drained =
         timestamp_from(static_cast<std::uint64_t>(drained_at_ms));
-    const outcome at_once = fleet({.begin = drained, .end = drained}).play();
-    const outcome paced = fleet(plan_shift(drained, drained, limit)).play();
+    const outcome at_once =
+        fleet({.begin = drained, .end = drained}).simulate();
+    const outcome paced = fleet(plan_shift(drained, drained, limit)).simulate();
     const std::string told = "mean " + std::to_string(at_once.mean_wait_ms) +
                              " and " + std::to_string(paced.mean_wait_ms) +
                              " ms, one in a hundred " +
