--- a/tests/records/group_placement_test.cpp
+++ b/tests/records/group_placement_test.cpp
@@ -36,7 +36,7 @@
 class group_placement_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(group_placement_test);
   CPPUNIT_TEST(no_zone_holds_more_voters_than_it_must);
-  CPPUNIT_TEST(three_regions_of_two_zones_bear_the_loss_of_any);
+  CPPUNIT_TEST(three_regions_of_two_zones_tolerate_the_loss_of_any);
   CPPUNIT_TEST(regions_of_more_zones_may_hold_a_majority);
   CPPUNIT_TEST_SUITE_END();
 
@@ -140,7 +140,7 @@
   }
 
   /// Five voters are in five of six zones, so at most two are in one region.
-  void three_regions_of_two_zones_bear_the_loss_of_any() {
+  void three_regions_of_two_zones_tolerate_the_loss_of_any() {
     for_each_layout([](const layout &built) {
       const bool meant = built.regions == 3 && built.zones_each == 2 &&
                          built.nodes >= built.zones();
--- a/tests/records/membership_plan_property_test.cpp
+++ b/tests/records/membership_plan_property_test.cpp
@@ -211,11 +211,11 @@
 
 class membership_plan_property_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(membership_plan_property_test);
-  CPPUNIT_TEST(planned_changes_keep_what_is_promised);
+  CPPUNIT_TEST(planned_changes_keep_the_tolerated_losses);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void planned_changes_keep_what_is_promised() {
+  void planned_changes_keep_the_tolerated_losses() {
     for (std::uint64_t seed = 0; seed < 2000; ++seed) {
       const std::string message = fmt::format("seed {}", seed);
       const std::size_t losses = 1 + seed % 3;
--- a/tests/records/membership_plan_test.cpp
+++ b/tests/records/membership_plan_test.cpp
@@ -37,8 +37,8 @@
   CPPUNIT_TEST(a_new_leader_does_not_shrink_the_group);
   CPPUNIT_TEST(a_surplus_voter_stays_while_another_is_silent);
   CPPUNIT_TEST(the_last_voter_stays);
-  CPPUNIT_TEST(a_leader_that_is_to_leave_hands_over);
-  CPPUNIT_TEST(the_size_follows_the_losses_to_be_borne);
+  CPPUNIT_TEST(a_retiring_leader_resigns);
+  CPPUNIT_TEST(the_size_follows_the_tolerated_losses);
   CPPUNIT_TEST(no_more_nodes_learn_than_are_wanted);
   CPPUNIT_TEST(a_successor_learns_however_many_follow);
   CPPUNIT_TEST(a_new_leader_takes_in_no_spares);
@@ -210,12 +210,12 @@
     CPPUNIT_ASSERT(!next());
   }
 
-  void a_leader_that_is_to_leave_hands_over() {
+  void a_retiring_leader_resigns() {
     nodes_[0].retiring = true;
     CPPUNIT_ASSERT(std::holds_alternative<resign_leadership>(*next()));
   }
 
-  void the_size_follows_the_losses_to_be_borne() {
+  void the_size_follows_the_tolerated_losses() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::tolerating(0).voters);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, group_size::tolerating(1).voters);
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group_size::tolerating(2).voters);
--- a/tests/records/node_load_test.cpp
+++ b/tests/records/node_load_test.cpp
@@ -12,8 +12,8 @@
 class node_load_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(node_load_test);
   CPPUNIT_TEST(a_report_has_what_came_since_the_last_one);
-  CPPUNIT_TEST(a_node_that_nobody_asks_reports_nothing);
-  CPPUNIT_TEST(kinds_of_messages_are_told_apart);
+  CPPUNIT_TEST(a_node_without_requests_reports_nothing);
+  CPPUNIT_TEST(messages_are_classified_by_kind);
   CPPUNIT_TEST_SUITE_END();
 
   node_load load_;
@@ -45,12 +45,12 @@
                          load_.take_report(start + 2000ms)->requests);
   }
 
-  void a_node_that_nobody_asks_reports_nothing() {
+  void a_node_without_requests_reports_nothing() {
     load_.on_spent(step_phase::reduce, 5us);
     CPPUNIT_ASSERT(!load_.take_report(start));
   }
 
-  void kinds_of_messages_are_told_apart() {
+  void messages_are_classified_by_kind() {
     wire::Envelope envelope;
     envelope.mutable_record_request();
     CPPUNIT_ASSERT(kind_of(envelope) == message_kind::request);
--- a/tests/records/record_group_test.cpp
+++ b/tests/records/record_group_test.cpp
@@ -14,17 +14,17 @@
 
 class record_group_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(record_group_test);
-  CPPUNIT_TEST(a_founder_takes_the_others_in);
+  CPPUNIT_TEST(a_founder_adds_the_other_nodes);
   CPPUNIT_TEST(a_wiped_node_is_whole_again_within_two_seconds);
   CPPUNIT_TEST(wipes_one_after_the_other_lose_nothing);
   CPPUNIT_TEST(all_lose_power_and_one_its_disk);
   CPPUNIT_TEST(a_minority_that_was_behind_does_not_lead);
   CPPUNIT_TEST(of_two_either_may_be_wiped);
   CPPUNIT_TEST(a_node_lost_for_good_gives_way_to_a_spare);
-  CPPUNIT_TEST(a_retired_node_is_emptied);
-  CPPUNIT_TEST(a_retired_leader_hands_over);
-  CPPUNIT_TEST(a_group_keeps_its_voters_while_machines_are_emptied);
-  CPPUNIT_TEST(two_disks_are_lost_as_soon_as_a_machine_is_emptied);
+  CPPUNIT_TEST(a_retired_node_becomes_removable);
+  CPPUNIT_TEST(a_retired_leader_transfers_leadership);
+  CPPUNIT_TEST(a_group_keeps_its_voters_while_machines_are_retired);
+  CPPUNIT_TEST(two_disks_are_lost_as_soon_as_a_machine_is_removable);
   CPPUNIT_TEST(a_cut_leader_acknowledges_nothing);
   CPPUNIT_TEST(a_frozen_leader_wakes_as_follower);
   CPPUNIT_TEST(nothing_piles_up_for_a_node_that_is_cut_off);
@@ -32,19 +32,19 @@
   CPPUNIT_TEST(a_slow_node_is_not_sent_the_same_again);
   CPPUNIT_TEST(budgets_hold_over_a_change_of_leaders);
   CPPUNIT_TEST(random_losses_lose_nothing);
-  CPPUNIT_TEST(a_group_that_bears_two_losses_has_five_voters);
+  CPPUNIT_TEST(a_group_that_tolerates_two_losses_has_five_voters);
   CPPUNIT_TEST(of_five_voters_two_lose_their_disks_at_once);
   CPPUNIT_TEST(random_pairs_of_losses_lose_nothing);
   CPPUNIT_TEST(partitions_are_led_by_different_nodes);
-  CPPUNIT_TEST(questions_that_come_together_share_an_entry);
-  CPPUNIT_TEST(a_question_asked_again_is_recorded_once);
-  CPPUNIT_TEST(a_question_whose_answer_is_late_is_recorded_once);
-  CPPUNIT_TEST(the_lead_is_handed_over_while_questions_come);
+  CPPUNIT_TEST(requests_that_arrive_together_share_an_entry);
+  CPPUNIT_TEST(a_repeated_request_is_recorded_once);
+  CPPUNIT_TEST(a_request_with_a_late_reply_is_recorded_once);
+  CPPUNIT_TEST(leadership_is_transferred_under_load);
   CPPUNIT_TEST(a_voter_that_is_back_soon_is_not_replaced);
-  CPPUNIT_TEST(a_node_without_a_part_keeps_to_the_leader);
+  CPPUNIT_TEST(a_node_without_a_replica_contacts_only_the_leader);
   CPPUNIT_TEST(every_node_names_the_leader);
   CPPUNIT_TEST(a_node_that_is_back_leads_before_it_has_applied_all);
-  CPPUNIT_TEST(of_two_one_is_replaced_and_all_restart);
+  CPPUNIT_TEST(a_group_of_two_restarts_after_a_replacement);
   CPPUNIT_TEST(all_restart_at_any_step_of_a_replacement);
   CPPUNIT_TEST(all_restart_at_any_step_of_a_removal);
   CPPUNIT_TEST(a_change_that_was_committed_needs_no_old_voter_after_a_restart);
@@ -52,8 +52,8 @@
   CPPUNIT_TEST(a_tenant_stays_within_its_limit_over_changes_of_leaders);
   CPPUNIT_TEST(a_leader_that_is_cut_off_gives_no_more_than_it_has);
   CPPUNIT_TEST(all_restart_and_no_permit_is_forgotten);
-  CPPUNIT_TEST(nobody_but_a_leader_reserves);
-  CPPUNIT_TEST(what_was_wanted_in_an_earlier_term_is_not_reserved);
+  CPPUNIT_TEST(only_a_leader_reserves_quota);
+  CPPUNIT_TEST(a_reservation_of_an_earlier_term_is_not_committed);
   CPPUNIT_TEST_SUITE_END();
 
   /// Upper bound of the quota of `request_permit` in 5 s: 60 x 1.1 + 20.
@@ -127,7 +127,7 @@
   }
 
 public:
-  void a_founder_takes_the_others_in() {
+  void a_founder_adds_the_other_nodes() {
     record_group group(1);
     start_group(group, {"a", "b", "c"});
     CPPUNIT_ASSERT(group.voters() == (std::set<std::string>{"a", "b", "c"}));
@@ -235,7 +235,7 @@
     check_kept(group, "t", 10);
   }
 
-  void a_retired_node_is_emptied() {
+  void a_retired_node_becomes_removable() {
     record_group group(8);
     start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
@@ -257,7 +257,7 @@
     check_kept(group, "t", 10);
   }
 
-  void a_retired_leader_hands_over() {
+  void a_retired_leader_transfers_leadership() {
     record_group group(9);
     start_group(group, {"a", "b", "c"});
     keep(group, "t", 10, 500ms);
@@ -285,7 +285,8 @@
 
   /// Runs until the leader reports the node as removable; the group must never
   /// have fewer voters than configured.
-  static void run_until_emptied(record_group &group, const std::string &name) {
+  static void run_until_removable(record_group &group,
+                                  const std::string &name) {
     for (int step = 0; step < 400; ++step) {
       group.run(20ms);
       const std::string leader_name = group.leader();
@@ -300,7 +301,7 @@
     CPPUNIT_FAIL("the retiring node never became removable");
   }
 
-  void a_group_keeps_its_voters_while_machines_are_emptied() {
+  void a_group_keeps_its_voters_while_machines_are_retired() {
     for (std::uint64_t seed = 80; seed < 84; ++seed) {
       record_group group(seed, group_size::tolerating(2, 4), 0, 4);
       start_five_voters(group);
@@ -311,8 +312,8 @@
           *voters.begin() == leader_name ? *voters.rbegin() : *voters.begin();
       group.retire(leader_name);
       group.retire(other);
-      run_until_emptied(group, leader_name);
-      run_until_emptied(group, other);
+      run_until_removable(group, leader_name);
+      run_until_removable(group, other);
       group.kill(leader_name);
       group.kill(other);
       CPPUNIT_ASSERT_EQUAL(five_voters, group.voters().size());
@@ -320,14 +321,14 @@
     }
   }
 
-  void two_disks_are_lost_as_soon_as_a_machine_is_emptied() {
+  void two_disks_are_lost_as_soon_as_a_machine_is_removable() {
     for (std::uint64_t seed = 90; seed < 94; ++seed) {
       record_group group(seed, group_size::tolerating(2, 4), 0, 4);
       start_five_voters(group);
       const std::set<std::string> before = group.voters();
       const std::string retired = *std::next(before.begin());
       group.retire(retired);
-      run_until_emptied(group, retired);
+      run_until_removable(group, retired);
       group.wipe(retired); // the machine is removed with its disk
       std::vector<std::string> wiped;
       for (const std::string &each : before) {
@@ -464,7 +465,7 @@
   }
 
 private:
-  void a_group_that_bears_two_losses_has_five_voters() {
+  void a_group_that_tolerates_two_losses_has_five_voters() {
     record_group group(5, records::group_size::tolerating(2));
     start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, group.voters().size());
@@ -518,7 +519,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, leads.size());
   }
 
-  void questions_that_come_together_share_an_entry() {
+  void requests_that_arrive_together_share_an_entry() {
     // Compares runs without and with batching.
     std::uint64_t entries[2] = {};
     for (const bool joined : {false, true}) {
@@ -539,7 +540,7 @@
     CPPUNIT_ASSERT(entries[1] <= 3);
   }
 
-  void a_question_asked_again_is_recorded_once() {
+  void a_repeated_request_is_recorded_once() {
     // The client repeats a request every 200 ms, and its reply takes 300 ms.
     record_group group(41);
     start_group(group, {"a", "b", "c"});
@@ -557,7 +558,7 @@
 
   // Guards against recording a retransmitted request again when its reply was
   // late.
-  void a_question_whose_answer_is_late_is_recorded_once() {
+  void a_request_with_a_late_reply_is_recorded_once() {
     record_group group(43);
     start_group(group, {"a", "b", "c"});
     const auto before = group.at(group.leader()).log()->last_index();
@@ -573,7 +574,7 @@
                              before.value());
   }
 
-  void the_lead_is_handed_over_while_questions_come() {
+  void leadership_is_transferred_under_load() {
     // Followers lag behind a leader that keeps proposing entries.
     for (std::uint32_t partition = 0; partition < 4; ++partition) {
       std::string led_by[2];
@@ -625,7 +626,7 @@
     }
   }
 
-  void a_node_without_a_part_keeps_to_the_leader() {
+  void a_node_without_a_replica_contacts_only_the_leader() {
     // Three of eight nodes have no replica of this partition.
     record_group group(44, records::group_size::tolerating(2, 4), 0, 4);
     start_group(group, {"a", "b", "c", "d", "e", "f", "g", "h"});
@@ -703,7 +704,7 @@
     return left;
   }
 
-  void of_two_one_is_replaced_and_all_restart() {
+  void a_group_of_two_restarts_after_a_replacement() {
     // Guards against a restarted leader counting the old voters, one of them
     // dead, for a change that is already committed, so that nothing can be
     // committed again.
@@ -994,7 +995,7 @@
     CPPUNIT_ASSERT(group.permits_used().size() > 50);
   }
 
-  void nobody_but_a_leader_reserves() {
+  void only_a_leader_reserves_quota() {
     record_group group(43);
     start_group(group, {"a", "b", "c"});
     wire::RecordChange change;
@@ -1007,7 +1008,7 @@
 
   /// Guards against committing a quota reservation of an earlier term after
   /// leadership was lost and regained while it waited for its batch.
-  void what_was_wanted_in_an_earlier_term_is_not_reserved() {
+  void a_reservation_of_an_earlier_term_is_not_committed() {
     record_group group(44);
     group.options().batch_interval = 3000ms;
     start_group(group, {"a"});
--- a/tests/records/record_memory_test.cpp
+++ b/tests/records/record_memory_test.cpp
@@ -195,7 +195,7 @@
 
 class record_memory_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(record_memory_test);
-  CPPUNIT_TEST(kept_turns_take_disk_and_not_memory);
+  CPPUNIT_TEST(stored_turns_use_disk_and_not_memory);
   CPPUNIT_TEST(a_start_reads_no_more_than_the_memory_holds);
   CPPUNIT_TEST_SUITE_END();
 
@@ -203,7 +203,7 @@
   const std::string &directory_ = folder_.path();
 
 public:
-  void kept_turns_take_disk_and_not_memory() {
+  void stored_turns_use_disk_and_not_memory() {
     record_client client;
     const std::size_t before = heap_bytes();
     running_node node(directory_, true);
--- a/tests/records/record_table_test.cpp
+++ b/tests/records/record_table_test.cpp
@@ -49,18 +49,18 @@
   CPPUNIT_TEST(an_attempt_that_ended_cannot_begin);
   CPPUNIT_TEST(an_end_counts_once);
   CPPUNIT_TEST(history_comes_oldest_first);
-  CPPUNIT_TEST(an_unknown_turn_is_told_and_reserves_nothing);
+  CPPUNIT_TEST(an_unknown_turn_is_reported_and_reserves_nothing);
   CPPUNIT_TEST(a_turn_is_kept_with_its_chain);
   CPPUNIT_TEST(expired_and_swept_look_alike);
   CPPUNIT_TEST(a_snapshot_holds_everything);
   CPPUNIT_TEST(time_does_not_run_backwards);
-  CPPUNIT_TEST(a_grant_tells_where_the_last_turn_was_answered);
+  CPPUNIT_TEST(a_grant_names_the_place_of_the_previous_turn);
   CPPUNIT_TEST(bodies_pass_through_and_are_dropped_with_their_turns);
   CPPUNIT_TEST(a_snapshot_that_brings_bodies_is_taken_in);
   CPPUNIT_TEST(a_history_that_lacks_a_turn_is_refused);
   CPPUNIT_TEST(a_turn_that_expires_while_a_snapshot_travels_still_decides);
-  CPPUNIT_TEST(what_the_state_settles_is_answered_as_the_log_would);
-  CPPUNIT_TEST(what_the_state_does_not_settle_is_left_to_the_log);
+  CPPUNIT_TEST(decided_changes_are_answered_as_by_the_log);
+  CPPUNIT_TEST(undecided_changes_need_the_log);
   CPPUNIT_TEST_SUITE_END();
 
   record_table table_;
@@ -94,7 +94,7 @@
   }
 
 public:
-  void what_the_state_settles_is_answered_as_the_log_would() {
+  void decided_changes_are_answered_as_by_the_log() {
     apply(end("a", 5, "", true));
     apply(begin("b", 10, 100, "a"));
     for (const auto &change : {begin("b", 10, 100, "a"), end("a", 5, "", true),
@@ -109,7 +109,7 @@
     }
   }
 
-  void what_the_state_does_not_settle_is_left_to_the_log() {
+  void undecided_changes_need_the_log() {
     apply(end("a", 5, "", true));
     apply(end("cancelled", 0));
     for (const auto &change :
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("out-b"), reply.history(1).output());
   }
 
-  void an_unknown_turn_is_told_and_reserves_nothing() {
+  void an_unknown_turn_is_reported_and_reserves_nothing() {
     CPPUNIT_ASSERT_EQUAL(wire::RECORD_UNKNOWN_TURN,
                          apply(begin("c", 90, 100, "nowhere")).verdict());
     CPPUNIT_ASSERT_EQUAL(wire::RECORD_GRANTED,
@@ -212,7 +212,7 @@
     CPPUNIT_ASSERT_EQUAL(1, granted.history_size());
   }
 
-  void a_grant_tells_where_the_last_turn_was_answered() {
+  void a_grant_names_the_place_of_the_previous_turn() {
     wire::RecordChange ended = end("t1", 3, {}, true);
     wire::TurnPlace &place =
         *ended.mutable_end()->mutable_kept()->mutable_place();
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -21,8 +21,8 @@
   CPPUNIT_TEST_SUITE(refill_test);
   CPPUNIT_TEST(a_copy_of_the_state_is_sent_once);
   CPPUNIT_TEST(the_preferred_voter_leads_once_the_node_is_whole);
-  CPPUNIT_TEST(a_node_that_lags_behind_a_busy_group_votes);
-  CPPUNIT_TEST(two_more_disks_may_go_while_it_lags);
+  CPPUNIT_TEST(a_successor_that_lags_becomes_a_voter);
+  CPPUNIT_TEST(two_more_disks_may_be_lost_while_it_lags);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t partitions = 4;
@@ -105,7 +105,7 @@
 
   // Guards against a successor of a dead voter never becoming a voter because
   // the log grows faster than it catches up.
-  void a_node_that_lags_behind_a_busy_group_votes() {
+  void a_successor_that_lags_becomes_a_voter() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
       record_group group(7, group_size::tolerating(2, partitions), partition,
                          partitions);
@@ -114,7 +114,7 @@
     }
   }
 
-  void two_more_disks_may_go_while_it_lags() {
+  void two_more_disks_may_be_lost_while_it_lags() {
     for (std::uint32_t partition = 0; partition < partitions; ++partition) {
       for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         record_group group(seed, group_size::tolerating(2, partitions),
@@ -128,9 +128,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, group.unanswered());
         const record_table &table = group.at(group.leader()).table();
         for (int turn = 0; turn < 100; ++turn) {
-          wire::RecordChange question;
-          question.mutable_read()->set_last(fmt::format("t{}", turn));
-          CPPUNIT_ASSERT(table.decided_outcome(question));
+          wire::RecordChange change;
+          change.mutable_read()->set_last(fmt::format("t{}", turn));
+          CPPUNIT_ASSERT(table.decided_outcome(change));
         }
       }
     }
--- a/tests/storage/log_storage_test.cpp
+++ b/tests/storage/log_storage_test.cpp
@@ -34,7 +34,7 @@
   CPPUNIT_TEST(a_compacted_log_goes_on_behind_its_snapshot);
   CPPUNIT_TEST(a_snapshot_keeps_the_log_that_followers_may_lack);
   CPPUNIT_TEST(turns_are_read_before_and_after_they_are_written);
-  CPPUNIT_TEST(turns_that_nobody_knows_are_gone_after_a_start);
+  CPPUNIT_TEST(unreferenced_turns_are_deleted_at_start);
   CPPUNIT_TEST(a_torn_tail_leaves_the_last_whole_write);
   CPPUNIT_TEST(a_file_that_is_no_database_is_refused);
   CPPUNIT_TEST_SUITE_END();
@@ -188,7 +188,7 @@
     CPPUNIT_ASSERT(!storage->read("b").has_value());
   }
 
-  void turns_that_nobody_knows_are_gone_after_a_start() {
+  void unreferenced_turns_are_deleted_at_start() {
     wire::LogEntry in_log;
     in_log.set_index(1);
     in_log.set_term(1);
