--- a/src/forwarding/client_request.cpp
+++ b/src/forwarding/client_request.cpp
@@ -18,7 +18,7 @@
   return {text.data(), text.size()};
 }
 
-/// Parses a signed number of milliseconds; a negative one lies in the past.
+/// Parses a signed number of milliseconds; a negative one is in the past.
 std::optional<duration_ms> signed_duration(std::string_view text) {
   const bool over = text.starts_with('-');
   const auto number = parse_number(over ? text.substr(1) : text);
--- a/src/forwarding/program_turn.hpp
+++ b/src/forwarding/program_turn.hpp
@@ -22,7 +22,7 @@
                const routing::route &route, routing::residency home,
                const tenant_id &tenant, timestamp deadline);
 
-  /// Returns a storage node of the record group that lies outside the home
+  /// Returns a storage node of the record group that is outside the home
   /// regions of the turn's record, if any. The turn cannot be recorded while
   /// there is one.
   [[nodiscard]] std::optional<records::storage_place>
--- a/src/forwarding/request_exchange.hpp
+++ b/src/forwarding/request_exchange.hpp
@@ -88,7 +88,7 @@
   /// @return true when the request may run; otherwise the client has been
   /// answered.
   asio::awaitable<bool> begin_turn();
-  /// Checks that no storage node lies outside the turn's home regions.
+  /// Checks that no storage node is outside the turn's home regions.
   /// @return false when one does; then the client has been answered.
   asio::awaitable<bool> check_storage_residency();
   [[nodiscard]] std::uint64_t used_tokens() const;
--- a/src/forwarding/storage_residency.hpp
+++ b/src/forwarding/storage_residency.hpp
@@ -12,10 +12,10 @@
 
 namespace heathtrestle::forwarding {
 
-/// @param nodes the nodes of the record group. A node without a region lies in
+/// @param nodes the nodes of the record group. A node without a region is in
 /// the region of its zone.
 /// @return the first node outside the home regions, with its region; nothing
-/// when all lie inside or the request is not restricted.
+/// when all are inside or the request is not restricted.
 std::optional<records::storage_place>
 storage_outside(const std::vector<records::storage_place> &nodes,
                 const routing::residency &home,
