--- a/src/cluster/partition_table.cpp
+++ b/src/cluster/partition_table.cpp
@@ -216,7 +216,7 @@
   const auto found = replicas_.find(partition);
   const bool led = found != replicas_.end() && found->second->established &&
                    found->second->log.is_leader() &&
-                   found->second->log.in_contact(now);
+                   found->second->log.has_recent_quorum(now);
   return led ? std::optional(found->second->established_term) : std::nullopt;
 }
 
--- a/src/raft/consensus.hpp
+++ b/src/raft/consensus.hpp
@@ -39,11 +39,11 @@
   /// A leader keeps up to so many applied entries while a peer that it hears of
   /// lacks them, or a snapshot is under way to one; zero to keep no more than
   /// `retained_entries` for them.
-  std::size_t held_entries = 0;
+  std::size_t lagging_peer_entries = 0;
   /// Encoded size of the applied entries that are kept, and that a leader keeps
   /// at most for peers that lack them; zero for no limit but the numbers above.
   std::size_t retained_bytes = 0;
-  std::size_t held_bytes = 0;
+  std::size_t lagging_peer_bytes = 0;
   std::size_t entries_per_append = 128;
   /// A message of entries ends with the one that brings it to this size; zero
   /// for no limit.
@@ -51,10 +51,10 @@
   /// A follower that lacks more entries than this gets one message of them at a
   /// time, so that its backlog leaves the link to the others; zero for no
   /// limit.
-  std::size_t backlog_entries = 0;
+  std::size_t backlog_threshold = 0;
   /// A follower that was silent for longer gets heartbeats only, so that
   /// nothing piles up on the way to it; zero for no limit.
-  duration_ms silence_limit{0};
+  duration_ms silent_peer_timeout{0};
   /// While it is not known how far a follower's log reaches, it gets entries
   /// once in this long; zero to send them with every proposal.
   duration_ms probe_interval{0};
@@ -62,7 +62,7 @@
   /// sent again unasked; zero to send them with every heartbeat's answer.
   duration_ms resend_after{0};
   /// Entries sent to a follower beyond those that it has acknowledged.
-  std::size_t unacknowledged_entries = 1024;
+  std::size_t max_inflight_entries = 1024;
 };
 
 /// A message to one replica.
@@ -223,12 +223,12 @@
   /// the leader know every entry that its predecessors committed.
   [[nodiscard]] bool established() const;
   /// True when the leader of the term before handed this replica the lead.
-  [[nodiscard]] bool was_handed_the_lead() const {
+  [[nodiscard]] bool elected_by_transfer() const {
     return role_ == role::leader && stood_on_request_;
   }
   /// True when a majority answered within an election's time. A leader that
   /// stood still fails this on waking, before it has heard that it was deposed.
-  [[nodiscard]] bool in_contact(timestamp now) const {
+  [[nodiscard]] bool has_recent_quorum(timestamp now) const {
     return heard_from_majority(now, options_.election_timeout);
   }
   [[nodiscard]] term_id term() const { return term_id{term_}; }
--- a/src/raft/consensus_log.cpp
+++ b/src/raft/consensus_log.cpp
@@ -406,8 +406,8 @@
 void consensus::replicate_to(const replica_id &peer, timestamp now,
                              outbox &out) {
   progress &state = peers_.at(peer);
-  const bool silent = options_.silence_limit.count() > 0 &&
-                      now >= state.last_heard + options_.silence_limit;
+  const bool silent = options_.silent_peer_timeout.count() > 0 &&
+                      now >= state.last_heard + options_.silent_peer_timeout;
   if (silent) {
     return;
   }
@@ -433,9 +433,9 @@
     return;
   }
   const bool too_far_ahead =
-      state.next > state.match + options_.unacknowledged_entries;
-  const bool has_backlog = options_.backlog_entries > 0 &&
-                           last() > state.match + options_.backlog_entries;
+      state.next > state.match + options_.max_inflight_entries;
+  const bool has_backlog = options_.backlog_threshold > 0 &&
+                           last() > state.match + options_.backlog_threshold;
   const bool unacknowledged = state.next > state.match + 1;
   const bool must_wait = too_far_ahead || (has_backlog && unacknowledged);
   if (must_wait && state.match > 0) {
@@ -613,11 +613,11 @@
 std::uint64_t consensus::dropped_up_to() const {
   const std::uint64_t retained =
       applied_before_last(options_.retained_entries, options_.retained_bytes);
-  if (role_ != role::leader || options_.held_entries == 0) {
+  if (role_ != role::leader || options_.lagging_peer_entries == 0) {
     return retained;
   }
-  const std::uint64_t held =
-      applied_before_last(options_.held_entries, options_.held_bytes);
+  const std::uint64_t held = applied_before_last(options_.lagging_peer_entries,
+                                                 options_.lagging_peer_bytes);
   std::uint64_t needed = retained;
   for (const auto &[peer, state] : peers_) {
     const std::uint64_t reached = std::max(state.match, state.snapshot_index);
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -265,7 +265,7 @@
     loads_.tell(request.reply_to(), request.loads(), now);
     owed_loads_.insert(request.reply_to());
   }
-  if (request.items().empty() && log_->in_contact(now)) {
+  if (request.items().empty() && log_->has_recent_quorum(now)) {
     answer_probe(request);
   } else if (request.items().empty()) {
     refuse(request, now); // nothing can be recorded without a majority
@@ -763,12 +763,12 @@
   // took it 14 s and more, where each takes 4 to 6 s from a leader of its own.
   const timestamp settled = leading_since_ + options_.yield_after +
                             hand_over_limit + options_.raft.heartbeat_interval;
-  return options_.partitions > 1 && !log_->was_handed_the_lead() &&
+  return options_.partitions > 1 && !log_->elected_by_transfer() &&
          now < settled && preferred_voter(now) != self_id_;
 }
 
 void record_node::yield_lead(timestamp now) {
-  const duration_ms kept = log_->was_handed_the_lead()
+  const duration_ms kept = log_->elected_by_transfer()
                                ? options_.keep_handed_lead
                                : options_.yield_after;
   const bool due = options_.partitions > 1 && log_->established() &&
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -36,16 +36,16 @@
                      .election_timeout = duration_ms{350},
                      .restart_election_timeout = duration_ms{150},
                      .retained_entries = 512,
-                     .held_entries = 2048,
+                     .lagging_peer_entries = 2048,
                      .retained_bytes = std::size_t{2} << 20U,
-                     .held_bytes = std::size_t{8} << 20U,
+                     .lagging_peer_bytes = std::size_t{8} << 20U,
                      .entries_per_append = 64,
                      .bytes_per_append = 96U << 10U,
-                     .backlog_entries = 64,
-                     .silence_limit = duration_ms{700},
+                     .backlog_threshold = 64,
+                     .silent_peer_timeout = duration_ms{700},
                      .probe_interval = duration_ms{50},
                      .resend_after = duration_ms{600},
-                     .unacknowledged_entries = 256};
+                     .max_inflight_entries = 256};
   /// Committed entries that one step applies at the most: a node that is back
   /// has its whole log to apply, and must speak to the others meanwhile.
   std::size_t entries_per_step = 64;
--- a/tests/raft/consensus_test.cpp
+++ b/tests/raft/consensus_test.cpp
@@ -317,12 +317,12 @@
     three.deliver(replica(leader), out);
     three.run(duration_ms{100});
     CPPUNIT_ASSERT(three.at(wanted).is_leader());
-    CPPUNIT_ASSERT(three.at(wanted).was_handed_the_lead());
+    CPPUNIT_ASSERT(three.at(wanted).elected_by_transfer());
     CPPUNIT_ASSERT(!three.at(leader).is_leader());
     // Whoever is elected after a silence was handed nothing.
     three.isolated.insert(wanted);
     three.run(duration_ms{6000});
-    CPPUNIT_ASSERT(!three.at(*three.leader()).was_handed_the_lead());
+    CPPUNIT_ASSERT(!three.at(*three.leader()).elected_by_transfer());
   }
 
   void a_follower_that_forgot_is_not_flooded() {
@@ -343,10 +343,10 @@
     group three(3);
     three.run(duration_ms{6000});
     const consensus &leader = three.at(*three.leader());
-    CPPUNIT_ASSERT(leader.in_contact(three.now()));
+    CPPUNIT_ASSERT(leader.has_recent_quorum(three.now()));
     // It wakes eight seconds later and still believes that it leads.
     CPPUNIT_ASSERT(leader.is_leader());
-    CPPUNIT_ASSERT(!leader.in_contact(three.now() + duration_ms{8000}));
+    CPPUNIT_ASSERT(!leader.has_recent_quorum(three.now() + duration_ms{8000}));
   }
 
   void entries_under_way_are_not_sent_with_every_heartbeat() {
@@ -469,7 +469,7 @@
   void a_backlog_is_sent_a_bounded_message_at_a_time() {
     options settings;
     settings.bytes_per_append = 4000;
-    settings.backlog_entries = 10;
+    settings.backlog_threshold = 10;
     consensus leader = restored({replica(1), replica(2), replica(3)}, settings);
     const timestamp now = elect(leader);
     const std::uint64_t first = leader.last_index().value();
@@ -518,8 +518,8 @@
   void entries_that_a_voter_lacks_are_held_up_to_their_bytes() {
     options settings;
     settings.retained_bytes = 10 * entry_size;
-    settings.held_entries = 1000;
-    settings.held_bytes = 50 * entry_size;
+    settings.lagging_peer_entries = 1000;
+    settings.lagging_peer_bytes = 50 * entry_size;
     consensus leader = restored({replica(1), replica(2), replica(3)}, settings);
     const timestamp now = elect(leader);
     acknowledge(leader, replica(3), leader.last_index().value(), now);
--- a/tests/records/refill_test.cpp
+++ b/tests/records/refill_test.cpp
@@ -45,7 +45,7 @@
   /// Eight nodes with a state that takes some seconds to copy.
   static void fill(record_group &group, std::size_t part_bytes = 256) {
     group.options().raft.retained_entries = 8;
-    group.options().raft.held_entries = 512;
+    group.options().raft.lagging_peer_entries = 512;
     group.options().recruit_after = 2000ms;
     group.options().replace_after = 3000ms;
     group.options().snapshots.part_bytes = part_bytes;
