--- a/src/records/ledger_client.cpp
+++ b/src/records/ledger_client.cpp
@@ -357,7 +357,7 @@
     }
     const pending_ptr entry = found->second;
     if (entry->asked_times == 1) {
-      patience_.note(last_answer_ - entry->sent);
+      patience_.record_response_time(last_answer_ - entry->sent);
     }
     entry->answered = true;
     entry->reply = item;
--- a/src/records/ledger_client.hpp
+++ b/src/records/ledger_client.hpp
@@ -3,8 +3,8 @@
 // same time.
 #pragma once
 
-#include "records/answer_patience.hpp"
 #include "records/partition_contact.hpp"
+#include "records/retry_timeout.hpp"
 #include "records/turn_ledger.hpp"
 #include "rpc/transport.hpp"
 #include "runtime/asio.hpp"
@@ -25,7 +25,7 @@
   /// The partition of the record group that is asked.
   std::uint32_t partition = 0;
   /// A question is asked again after this long at the least, and of a group
-  /// that answers slowly after more (`answer_patience`).
+  /// that answers slowly after more (`retry_timeout`).
   duration_ms answer_timeout{250};
   duration_ms longest_answer_timeout{1500};
   /// Ends that nobody waits for travel with the next question, at the latest
@@ -150,7 +150,7 @@
   std::uint64_t members_hash_ = 0;
   std::string leader_;
   std::size_t next_member_ = 0;
-  answer_patience patience_;
+  retry_timeout patience_;
   partition_contact contact_;
   /// A node has named `leader_`, and it was not asked since.
   bool leader_is_named_ = false;
--- a/src/records/answer_patience.cpp
+++ b/src/records/retry_timeout.cpp
@@ -1,4 +1,4 @@
-#include "records/answer_patience.hpp"
+#include "records/retry_timeout.hpp"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void answer_patience::note(duration_ms taken) {
+void retry_timeout::record_response_time(duration_ms taken) {
   backoff_ = 1;
   const bool first = latency_.count() == 0;
   const duration_ms smoothed =
@@ -30,14 +30,14 @@
                  : smoothed;
 }
 
-void answer_patience::on_timeout(timestamp sent, timestamp now) {
+void retry_timeout::on_timeout(timestamp sent, timestamp now) {
   if (sent >= grown_) {
     backoff_ = std::min(2 * backoff_, most_backoff);
     grown_ = now;
   }
 }
 
-duration_ms answer_patience::timeout() const {
+duration_ms retry_timeout::timeout() const {
   return std::min(
       backoff_ * std::clamp(latency_multiple * latency_, least_, most_), most_);
 }
--- a/src/records/answer_patience.hpp
+++ b/src/records/retry_timeout.hpp
@@ -12,16 +12,16 @@
 
 namespace heathtrestle::records {
 
-class answer_patience {
+class retry_timeout {
 public:
   /// @param least waited in any case.
   /// @param most waited at the most, however slow answers are.
-  answer_patience(duration_ms least, duration_ms most)
+  retry_timeout(duration_ms least, duration_ms most)
       : least_(least), most_(most) {}
 
   /// An answer took this long. Only of questions that were asked once: of
   /// others it is not known which time the answer belongs to.
-  void note(duration_ms taken);
+  void record_response_time(duration_ms taken);
   /// The time-out ran out for a question, which is asked again, though whom it
   /// was sent to answers others.
   /// @param sent when it was asked last. Questions from before the time-out
--- a/tests/records/answer_patience_test.cpp
+++ b/tests/records/retry_timeout_test.cpp
@@ -1,4 +1,4 @@
-#include "records/answer_patience.hpp"
+#include "records/retry_timeout.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-class answer_patience_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(answer_patience_test);
+class retry_timeout_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(retry_timeout_test);
   CPPUNIT_TEST(a_quick_group_is_awaited_the_least);
   CPPUNIT_TEST(a_group_that_becomes_slow_is_awaited_longer);
   CPPUNIT_TEST(patience_has_an_end);
@@ -18,12 +18,12 @@
   CPPUNIT_TEST(a_group_that_is_slow_at_once_is_believed_at_once);
   CPPUNIT_TEST_SUITE_END();
 
-  answer_patience patience_{250ms, 1500ms};
+  retry_timeout patience_{250ms, 1500ms};
 
 public:
   void a_quick_group_is_awaited_the_least() {
     CPPUNIT_ASSERT(patience_.timeout() == 250ms);
-    patience_.note(20ms);
+    patience_.record_response_time(20ms);
     CPPUNIT_ASSERT(patience_.timeout() == 250ms);
   }
 
@@ -31,13 +31,13 @@
     // Answers slow down to three times the least; none is asked for again.
     for (duration_ms taken = 20ms; taken <= 750ms; taken += 10ms) {
       CPPUNIT_ASSERT(taken < patience_.timeout());
-      patience_.note(taken);
+      patience_.record_response_time(taken);
     }
   }
 
   void patience_has_an_end() {
     for (int answer = 0; answer < 100; ++answer) {
-      patience_.note(5000ms);
+      patience_.record_response_time(5000ms);
     }
     CPPUNIT_ASSERT(patience_.timeout() == 1500ms);
   }
@@ -66,20 +66,20 @@
 
   void an_answer_to_a_question_asked_once_ends_the_backing_off() {
     patience_.on_timeout(timestamp{10s}, timestamp{11s});
-    patience_.note(20ms);
+    patience_.record_response_time(20ms);
     CPPUNIT_ASSERT(patience_.timeout() == 250ms);
   }
 
   void a_group_that_is_slow_at_once_is_believed_at_once() {
     for (int answer = 0; answer < 100; ++answer) {
-      patience_.note(20ms);
+      patience_.record_response_time(20ms);
     }
-    patience_.note(400ms);
+    patience_.record_response_time(400ms);
     CPPUNIT_ASSERT(patience_.timeout() == 800ms);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answer_patience_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(retry_timeout_test);
 
 } // namespace
 } // namespace heathtrestle::records
