--- a/src/records/gateway_ring.cpp
+++ b/src/records/gateway_hash_ring.cpp
@@ -1,4 +1,4 @@
-#include "records/gateway_ring.hpp"
+#include "records/gateway_hash_ring.hpp"
 
 #include "base/ids.hpp"
 
@@ -24,11 +24,11 @@
 
 } // namespace
 
-void gateway_ring::tell(const std::string &gateway, timestamp now) {
+void gateway_hash_ring::refresh(const std::string &gateway, timestamp now) {
   members_[point_of(gateway)] = {.gateway = gateway, .told = now};
 }
 
-ring_arc gateway_ring::arc_of(const std::string &gateway, timestamp now) {
+ring_arc gateway_hash_ring::arc_of(const std::string &gateway, timestamp now) {
   forget_old(now);
   const auto own = members_.find(point_of(gateway));
   if (own == members_.end() || own->second.gateway != gateway) {
@@ -43,7 +43,7 @@
   return {.end = own->first, .length = own->first - before->first};
 }
 
-void gateway_ring::forget_old(timestamp now) {
+void gateway_hash_ring::forget_old(timestamp now) {
   if (now < looked_through_ + look_interval) {
     return;
   }
--- a/src/records/gateway_ring.hpp
+++ b/src/records/gateway_hash_ring.hpp
@@ -13,10 +13,10 @@
 
 namespace heathtrestle::records {
 
-class gateway_ring {
+class gateway_hash_ring {
 public:
   /// The gateway is there.
-  void tell(const std::string &gateway, timestamp now);
+  void refresh(const std::string &gateway, timestamp now);
   /// The gateway's arc; of no length where it has not told lately.
   [[nodiscard]] ring_arc arc_of(const std::string &gateway, timestamp now);
 
--- a/src/records/load_board.cpp
+++ b/src/records/load_reports.cpp
@@ -1,4 +1,4 @@
-#include "records/load_board.hpp"
+#include "records/load_reports.hpp"
 
 #include <algorithm>
 
@@ -24,11 +24,11 @@
 
 } // namespace
 
-void load_board::tell(const std::string &gateway,
-                      const wire::ReplicaLoads &loads, timestamp now) {
+void load_reports::update(const std::string &gateway,
+                          const wire::ReplicaLoads &loads, timestamp now) {
   withdraw(gateway);
   forget_old(now);
-  ring_.tell(gateway, now);
+  ring_.refresh(gateway, now);
   by_gateway_[gateway] = {.loads = loads, .at = now};
   by_age_.push_back({.gateway = gateway, .at = now});
   for_each_load(loads, [&](std::uint32_t replica, std::uint32_t running) {
@@ -38,7 +38,7 @@
   });
 }
 
-void load_board::withdraw(const std::string &gateway) {
+void load_reports::withdraw(const std::string &gateway) {
   const auto known = by_gateway_.find(gateway);
   if (known == by_gateway_.end()) {
     return;
@@ -57,7 +57,7 @@
   by_gateway_.erase(known);
 }
 
-void load_board::forget_old(timestamp now) {
+void load_reports::forget_old(timestamp now) {
   while (!by_age_.empty() && now >= by_age_.front().at + told_for) {
     const due oldest = std::move(by_age_.front());
     by_age_.pop_front();
@@ -68,8 +68,8 @@
   }
 }
 
-wire::SharedLoads load_board::others(const std::string &gateway,
-                                     timestamp now) {
+wire::SharedLoads load_reports::loads_of_others(const std::string &gateway,
+                                                timestamp now) {
   forget_old(now);
   const auto own = by_gateway_.find(gateway);
   std::map<std::uint32_t, std::uint32_t> own_running;
--- a/src/records/load_board.hpp
+++ b/src/records/load_reports.hpp
@@ -5,11 +5,11 @@
 //
 // Sums are kept up to date as gateways tell, so that an answer costs the number
 // of replicas, however many gateways there are. Each is also told its part of
-// what all share (`gateway_ring`).
+// what all share (`gateway_hash_ring`).
 #pragma once
 
 #include "base/time.hpp"
-#include "records/gateway_ring.hpp"
+#include "records/gateway_hash_ring.hpp"
 #include "wire/messages.hpp"
 
 #include <cstdint>
@@ -19,14 +19,14 @@
 
 namespace heathtrestle::records {
 
-class load_board {
+class load_reports {
 public:
   /// @param gateway its address; what it told before is void.
-  void tell(const std::string &gateway, const wire::ReplicaLoads &loads,
-            timestamp now);
+  void update(const std::string &gateway, const wire::ReplicaLoads &loads,
+              timestamp now);
   /// What the gateways but this one have told lately.
-  [[nodiscard]] wire::SharedLoads others(const std::string &gateway,
-                                         timestamp now);
+  [[nodiscard]] wire::SharedLoads loads_of_others(const std::string &gateway,
+                                                  timestamp now);
 
 private:
   struct report {
@@ -43,7 +43,7 @@
   void forget_old(timestamp now);
 
   std::map<std::string, report> by_gateway_;
-  gateway_ring ring_;
+  gateway_hash_ring ring_;
   /// Running requests by replica, of all reports together.
   std::map<std::uint32_t, std::uint32_t> sums_;
   /// Reports in the order of their age; those since replaced are passed over.
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -262,7 +262,7 @@
     return;
   }
   if (request.has_loads()) {
-    loads_.tell(request.reply_to(), request.loads(), now);
+    loads_.update(request.reply_to(), request.loads(), now);
     owed_loads_.insert(request.reply_to());
   }
   if (request.items().empty() && log_->has_recent_quorum(now)) {
@@ -518,7 +518,7 @@
     *reply.mutable_members() = known;
   }
   if (owed_loads_.erase(address) > 0) {
-    *reply.mutable_loads() = loads_.others(address, now);
+    *reply.mutable_loads() = loads_.loads_of_others(address, now);
   }
 }
 
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -12,7 +12,7 @@
 #include "logging/event_catalogue.hpp"
 #include "raft/consensus.hpp"
 #include "records/group_plan.hpp"
-#include "records/load_board.hpp"
+#include "records/load_reports.hpp"
 #include "records/permit_desk.hpp"
 #include "records/quota_clock.hpp"
 #include "records/record_table.hpp"
@@ -273,7 +273,7 @@
   bool members_changed_ = false;
   std::set<std::string> retiring_;
   wire::SeenRevisions seen_;
-  load_board loads_;
+  load_reports loads_;
   permit_desk desk_;
   /// The term in which the desk was last empty.
   term_id desk_term_{};
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -4,7 +4,7 @@
 #include "balance/admission_share.hpp"
 #include "balance/slow_start.hpp"
 #include "base/ids.hpp"
-#include "records/load_board.hpp"
+#include "records/load_reports.hpp"
 #include "tenants/pacer.hpp"
 #include "tenants/sliding_count.hpp"
 
@@ -200,7 +200,7 @@
 
   void tell(std::size_t number) {
     member &own = gateways_[number];
-    records::load_board &board = number < split_ ? split_board_ : board_;
+    records::load_reports &board = number < split_ ? split_board_ : board_;
     own.tells_next = now_ + telling;
     demand_ -= own.told_demand;
     own.told_demand = own.decides->demand(now_);
@@ -208,9 +208,9 @@
     wire::ReplicaLoads loads;
     loads.set_told_ms(milliseconds_of(now_));
     const std::string name = "10.0.0." + std::to_string(number);
-    board.tell(name, loads, now_);
+    board.update(name, loads, now_);
     answers_.push_back({.gateway = number,
-                        .loads = board.others(name, now_),
+                        .loads = board.loads_of_others(name, now_),
                         .others = demand_ - own.told_demand,
                         .due = now_ + duration_ms{20}});
   }
@@ -227,8 +227,8 @@
   std::mt19937_64 random_{4711};
   std::uniform_real_distribution<double> unit_{0, 1};
   std::vector<member> gateways_;
-  records::load_board board_;
-  records::load_board split_board_;
+  records::load_reports board_;
+  records::load_reports split_board_;
   std::deque<answer> answers_;
   std::array<std::vector<timestamp>, replicas> sent_;
   std::uint32_t demand_ = 0;
--- a/tests/balance/stale_loads_test.cpp
+++ b/tests/balance/stale_loads_test.cpp
@@ -2,7 +2,7 @@
 // and which are some time old: whether the engines get even shares.
 #include "balance/instance_choice.hpp"
 #include "balance/load_estimate.hpp"
-#include "records/load_board.hpp"
+#include "records/load_reports.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -80,7 +80,7 @@
   std::exponential_distribution<double> gap(
       load * slots * static_cast<double>(engine_count) / turn_ms);
   std::exponential_distribution<double> length(1 / turn_ms);
-  records::load_board board;
+  records::load_reports board;
   std::vector<gateway_view> views(gateways);
   for (gateway_view &view : views) {
     view.own.assign(engine_count, 0);
@@ -103,8 +103,8 @@
     gateway_view &view = views[gateway];
     if (now >= view.tells_next) {
       const std::string name = std::to_string(gateway);
-      board.tell(name, loads_of(view), now);
-      take(view, board.others(name, now), now);
+      board.update(name, loads_of(view), now);
+      take(view, board.loads_of_others(name, now), now);
       view.tells_next = now + duration_ms{tell_interval_ms};
     }
     const std::size_t engine = choose(view, now, random());
