--- a/src/records/permit_desk.cpp
+++ b/src/records/permit_allocator.cpp
@@ -1,4 +1,4 @@
-#include "records/permit_desk.hpp"
+#include "records/permit_allocator.hpp"
 
 #include "records/quota_messages.hpp"
 
@@ -37,7 +37,8 @@
 
 } // namespace
 
-permit_desk::counter &permit_desk::counter_of(const wire::TakePermit &wanted) {
+permit_allocator::counter &
+permit_allocator::counter_of(const wire::TakePermit &wanted) {
   const duration_ms window{std::max<std::uint32_t>(
       wanted.terms().window_ms(),
       static_cast<std::uint32_t>(tenants::sliding_count::slices))};
@@ -49,34 +50,36 @@
   return of;
 }
 
-void permit_desk::ask(permit_question question, tenants::quota_time time,
-                      timestamp now) {
-  counter &of = counter_of(question.wanted);
+void permit_allocator::request_permit(gateway_permit_request request,
+                                      tenants::quota_time time, timestamp now) {
+  counter &of = counter_of(request.wanted);
   of.asked = now;
   of.recent.add(now);
-  if (!answer_now(of, question, time, now)) {
-    of.waiting.push_back(std::move(question));
+  if (!answer_now(of, request, time, now)) {
+    of.waiting.push_back(std::move(request));
   }
 }
 
-bool permit_desk::answer_now(counter &of, const permit_question &question,
-                             tenants::quota_time time, timestamp now) {
-  if (question.wanted.begins_program() && is_paced(of, question, now)) {
+bool permit_allocator::answer_now(counter &of,
+                                  const gateway_permit_request &request,
+                                  tenants::quota_time time, timestamp now) {
+  if (request.wanted.begins_program() && is_paced(of, request, now)) {
     return true;
   }
   if (of.left > 0 && now < of.good_until) {
-    give(of, question, time, now);
+    give(of, request, time, now);
     return true;
   }
   if (now < of.free_at) {
-    refuse(of, question, false, of.free_at - now);
+    refuse(of, request, false, of.free_at - now);
     return true;
   }
   return false;
 }
 
-bool permit_desk::is_paced(counter &of, const permit_question &question,
-                           timestamp now) {
+bool permit_allocator::is_paced(counter &of,
+                                const gateway_permit_request &request,
+                                timestamp now) {
   const double rate =
       static_cast<double>(of.terms.millirequests_per_second()) / thousandths;
   const double seconds =
@@ -91,15 +94,15 @@
   if (of.pace.take(per_second, now) || !crowded) {
     return false;
   }
-  refuse(of, question, true, of.pace.next(per_second, now) - now);
+  refuse(of, request, true, of.pace.next(per_second, now) - now);
   return true;
 }
 
-void permit_desk::give(counter &of, permit_question question,
-                       tenants::quota_time time, timestamp now) {
+void permit_allocator::give(counter &of, gateway_permit_request request,
+                            tenants::quota_time time, timestamp now) {
   --of.left;
   of.given[tenants::slice_of(time)] += 1;
-  const bool begins = question.wanted.begins_program();
+  const bool begins = request.wanted.begins_program();
   of.programs.add(now, begins ? 1 : 0);
   if (of.last.counted() <= of.last.limit()) {
     // Programs that are cut short by the quota are no measure of its need.
@@ -110,11 +113,11 @@
   answer.set_counted(of.last.counted());
   answer.set_most(of.last.most());
   answer.set_limit(of.last.limit());
-  replies_.push_back({std::move(question), std::move(answer)});
+  replies_.push_back({std::move(request), std::move(answer)});
 }
 
-void permit_desk::refuse(const counter &of, permit_question question,
-                         bool paced, duration_ms retry_after) {
+void permit_allocator::refuse(const counter &of, gateway_permit_request request,
+                              bool paced, duration_ms retry_after) {
   wire::PermitAnswer answer;
   answer.set_paced(paced);
   answer.set_retry_after_ms(static_cast<std::uint32_t>(
@@ -122,10 +125,10 @@
   answer.set_counted(of.last.counted());
   answer.set_most(of.last.most());
   answer.set_limit(of.last.limit());
-  replies_.push_back({std::move(question), std::move(answer)});
+  replies_.push_back({std::move(request), std::move(answer)});
 }
 
-std::uint32_t permit_desk::ahead(counter &of, timestamp now) const {
+std::uint32_t permit_allocator::ahead(counter &of, timestamp now) const {
   const auto used = static_cast<double>(of.recent.sum(now));
   const auto wanted =
       std::max(static_cast<std::uint32_t>(used * ahead_share), least_ahead);
@@ -136,7 +139,8 @@
   return tight ? 0 : wanted;
 }
 
-std::vector<wire::ReserveQuota> permit_desk::due(timestamp now) {
+std::vector<wire::ReserveQuota>
+permit_allocator::take_reservations(timestamp now) {
   std::vector<wire::ReserveQuota> wanted;
   for (auto &[tenant, of] : counters_) {
     if (of.proposed || now < of.free_at) {
@@ -166,8 +170,8 @@
   return wanted;
 }
 
-void permit_desk::on_reserved(const wire::ReservedQuota &made,
-                              tenants::quota_time time, timestamp now) {
+void permit_allocator::on_reserved(const wire::ReservedQuota &made,
+                                   tenants::quota_time time, timestamp now) {
   const auto found = counters_.find(made.tenant());
   if (found == counters_.end() || !found->second.proposed) {
     return; // of an earlier term
@@ -183,7 +187,7 @@
   }
   // Those under way first.
   std::stable_partition(of.waiting.begin(), of.waiting.end(),
-                        [](const permit_question &each) {
+                        [](const gateway_permit_request &each) {
                           return !each.wanted.begins_program();
                         });
   while (!of.waiting.empty()) {
@@ -192,22 +196,22 @@
     if (!given && !refused) {
       break; // came while this one was on its way; the next one is for them
     }
-    permit_question question = std::move(of.waiting.front());
+    gateway_permit_request request = std::move(of.waiting.front());
     of.waiting.pop_front();
     if (given) {
-      give(of, std::move(question), time, now);
+      give(of, std::move(request), time, now);
     } else {
-      refuse(of, std::move(question), false, of.free_at - now);
+      refuse(of, std::move(request), false, of.free_at - now);
     }
   }
 }
 
-std::vector<permit_reply> permit_desk::take_replies() {
+std::vector<permit_reply> permit_allocator::take_replies() {
   return std::exchange(replies_, {});
 }
 
-std::vector<permit_question> permit_desk::clear() {
-  std::vector<permit_question> unanswered;
+std::vector<gateway_permit_request> permit_allocator::clear() {
+  std::vector<gateway_permit_request> unanswered;
   for (auto &[tenant, of] : counters_) {
     std::move(of.waiting.begin(), of.waiting.end(),
               std::back_inserter(unanswered));
@@ -216,7 +220,7 @@
   return unanswered;
 }
 
-void permit_desk::forget_idle(timestamp now) {
+void permit_allocator::forget_idle(timestamp now) {
   std::erase_if(counters_, [now](const auto &entry) {
     const counter &of = entry.second;
     return !of.proposed && of.waiting.empty() &&
@@ -224,7 +228,7 @@
   });
 }
 
-void permit_desk::note_given(bool begins) {
+void permit_allocator::note_given(bool begins) {
   requests_given_ += 1;
   programs_given_ += begins ? 1 : 0;
   if (requests_given_ > length_memory) {
@@ -233,7 +237,7 @@
   }
 }
 
-double permit_desk::requests_per_program() const {
+double permit_allocator::requests_per_program() const {
   return std::max(requests_given_ / programs_given_, 1.0);
 }
 
--- a/src/records/permit_desk.hpp
+++ b/src/records/permit_allocator.hpp
@@ -31,7 +31,7 @@
 namespace heathtrestle::records {
 
 /// A gateway's question for one permit.
-struct permit_question {
+struct gateway_permit_request {
   std::string reply_to; // the gateway's address
   std::uint64_t id = 0; // unique there
   std::uint64_t members_hash = 0;
@@ -39,19 +39,20 @@
 };
 
 struct permit_reply {
-  permit_question question;
+  gateway_permit_request request;
   wire::PermitAnswer answer;
 };
 
-class permit_desk {
+class permit_allocator {
 public:
   /// Takes a question; its answer comes with `take_replies`, now or later.
   /// @param time of the partition.
-  void ask(permit_question question, tenants::quota_time time, timestamp now);
+  void request_permit(gateway_permit_request request, tenants::quota_time time,
+                      timestamp now);
 
   /// What is to be reserved, to be recorded by the partition; of each tenant
   /// one at a time is under way.
-  std::vector<wire::ReserveQuota> due(timestamp now);
+  std::vector<wire::ReserveQuota> take_reservations(timestamp now);
 
   /// A reservation was recorded.
   void on_reserved(const wire::ReservedQuota &made, tenants::quota_time time,
@@ -61,7 +62,7 @@
 
   /// This node leads no more.
   /// @return questions that wait for an answer.
-  std::vector<permit_question> clear();
+  std::vector<gateway_permit_request> clear();
 
   /// Forgets tenants that nobody asks for.
   void forget_idle(timestamp now);
@@ -85,7 +86,7 @@
     /// Nothing is left before that.
     timestamp free_at{};
     wire::ReservedQuota last;
-    std::deque<permit_question> waiting;
+    std::deque<gateway_permit_request> waiting;
     tenants::sliding_count recent;   // asked for
     tenants::sliding_count programs; // begun
     tenants::pacer pace;             // of programs
@@ -95,13 +96,14 @@
   counter &counter_of(const wire::TakePermit &wanted);
   /// Answers where that needs no reservation.
   /// @return false when the question has to wait.
-  bool answer_now(counter &of, const permit_question &question,
+  bool answer_now(counter &of, const gateway_permit_request &request,
                   tenants::quota_time time, timestamp now);
   /// True when a program has to wait for its turn to begin.
-  bool is_paced(counter &of, const permit_question &question, timestamp now);
-  void give(counter &of, permit_question question, tenants::quota_time time,
-            timestamp now);
-  void refuse(const counter &of, permit_question question, bool paced,
+  bool is_paced(counter &of, const gateway_permit_request &request,
+                timestamp now);
+  void give(counter &of, gateway_permit_request request,
+            tenants::quota_time time, timestamp now);
+  void refuse(const counter &of, gateway_permit_request request, bool paced,
               duration_ms retry_after);
   /// Permits wanted beyond those that are waited for.
   [[nodiscard]] std::uint32_t ahead(counter &of, timestamp now) const;
--- a/src/records/quota_clock.hpp
+++ b/src/records/quota_clock.hpp
@@ -21,13 +21,13 @@
 public:
   /// Another leader's entry, or one of an earlier term, was applied.
   /// @param time the partition's time as of that entry.
-  void follow(tenants::quota_time time, timestamp now) {
+  void synchronize(tenants::quota_time time, timestamp now) {
     time_ = time;
     at_ = now;
   }
 
   /// The partition's time, as the leader stamps it on what it proposes.
-  [[nodiscard]] tenants::quota_time read(timestamp now) const {
+  [[nodiscard]] tenants::quota_time time_at(timestamp now) const {
     return time_ + static_cast<tenants::quota_time>(
                        std::max(now - at_, duration_ms{0}).count());
   }
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -61,7 +61,7 @@
   self_id_ = {make_node_id(self_.name()), recovered.identity};
   *self_.mutable_replica() = to_wire(self_id_);
   table_.restore(std::move(recovered.snapshot));
-  quota_clock_.follow(table_.quota_time(), now);
+  quota_clock_.synchronize(table_.quota_time(), now);
   log_.emplace(the_partition, self_id_, std::move(recovered.replica),
                options_.raft, now, random);
   learn_members(recovered.members);
@@ -162,7 +162,7 @@
     const auto outcomes = table_.apply(entry.command().record_batch());
     const bool own = log_->is_leader() && applied_term_ == log_->term();
     if (!own) {
-      quota_clock_.follow(table_.quota_time(), now);
+      quota_clock_.synchronize(table_.quota_time(), now);
     }
     answer(entry.index(), outcomes, now, effects);
   }
@@ -282,11 +282,11 @@
       continue;
     }
     if (item.change().has_take_permit()) {
-      desk_.ask({.reply_to = request.reply_to(),
-                 .id = item.id(),
-                 .members_hash = request.members_hash(),
-                 .wanted = item.change().take_permit()},
-                quota_clock_.read(now), now);
+      desk_.request_permit({.reply_to = request.reply_to(),
+                            .id = item.id(),
+                            .members_hash = request.members_hash(),
+                            .wanted = item.change().take_permit()},
+                           quota_clock_.time_at(now), now);
       continue;
     }
     if (auto known = table_.settled(item.change())) {
@@ -378,7 +378,7 @@
     if (newer) {
       installed_ = receiver_.take();
       table_.restore(*installed_);
-      quota_clock_.follow(table_.quota_time(), now);
+      quota_clock_.synchronize(table_.quota_time(), now);
       note(logging::event::record_snapshot_installed,
            fmt::format("index {}", part.last_index()));
     }
@@ -439,7 +439,7 @@
   wire::RecordBatch &batch = *command.mutable_record_batch();
   batch.set_time_ms(wall_ms);
   if (knows_quotas()) {
-    batch.set_quota_time_ms(quota_clock_.read(now));
+    batch.set_quota_time_ms(quota_clock_.time_at(now));
   }
   std::vector<asker> who;
   for (auto &[asked_by, change] : proposals_) {
@@ -464,7 +464,7 @@
   if (desk_term_ != log_->term()) {
     clear_desk(now); // elected anew before the loss was noticed
   }
-  for (wire::ReserveQuota &wanted : desk_.due(now)) {
+  for (wire::ReserveQuota &wanted : desk_.take_reservations(now)) {
     wire::RecordChange change;
     *change.mutable_reserve_quota() = std::move(wanted);
     proposals_.emplace_back(asker{}, std::move(change));
@@ -473,7 +473,7 @@
 
 void record_node::clear_desk(timestamp now) {
   desk_term_ = log_->term();
-  for (const permit_question &each : desk_.clear()) {
+  for (const gateway_permit_request &each : desk_.clear()) {
     taken_up_.erase(question_hash(each.reply_to, each.id));
     wire::RecordRequest refused;
     refused.set_reply_to(each.reply_to);
@@ -491,13 +491,13 @@
 void record_node::send_permits(timestamp now, record_effects &effects) {
   std::map<std::string, std::pair<wire::RecordReply, std::uint64_t>> replies;
   for (permit_reply &each : desk_.take_replies()) {
-    auto &[reply, known_members] = replies[each.question.reply_to];
-    known_members = each.question.members_hash;
+    auto &[reply, known_members] = replies[each.request.reply_to];
+    known_members = each.request.members_hash;
     wire::RecordReplyItem &item = *reply.add_items();
-    item.set_id(each.question.id);
+    item.set_id(each.request.id);
     item.set_verdict(wire::RECORD_DONE);
     *item.mutable_permit() = std::move(each.answer);
-    taken_up_.erase(question_hash(each.question.reply_to, each.question.id));
+    taken_up_.erase(question_hash(each.request.reply_to, each.request.id));
   }
   for (auto &[address, entry] : replies) {
     complete(entry.first, address, entry.second, now);
@@ -562,7 +562,7 @@
     if (outcomes.at(place).has_reserved_quota()) {
       if (applied_term_ == desk_term_) {
         desk_.on_reserved(outcomes.at(place).reserved_quota(),
-                          quota_clock_.read(now), now);
+                          quota_clock_.time_at(now), now);
       }
       continue;
     }
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -13,7 +13,7 @@
 #include "raft/consensus.hpp"
 #include "records/group_plan.hpp"
 #include "records/load_reports.hpp"
-#include "records/permit_desk.hpp"
+#include "records/permit_allocator.hpp"
 #include "records/quota_clock.hpp"
 #include "records/record_table.hpp"
 #include "records/snapshot_transfer.hpp"
@@ -274,7 +274,7 @@
   std::set<std::string> retiring_;
   wire::SeenRevisions seen_;
   load_reports loads_;
-  permit_desk desk_;
+  permit_allocator desk_;
   /// The term in which the desk was last empty.
   term_id desk_term_{};
   quota_clock quota_clock_;
--- a/tests/records/permit_desk_test.cpp
+++ b/tests/records/permit_allocator_test.cpp
@@ -23,8 +23,8 @@
 
 constexpr tenants::request_quota large{.rate_per_second = 160, .burst = 160};
 
-class permit_desk_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(permit_desk_test);
+class permit_allocator_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(permit_allocator_test);
   CPPUNIT_TEST(below_its_limit_a_tenant_is_never_refused);
   CPPUNIT_TEST(a_hot_tenant_stays_within_the_bound);
   CPPUNIT_TEST(a_small_hot_tenant_stays_within_the_bound);
@@ -177,7 +177,7 @@
 
   /// A tenant in steady use is given permits out of what was reserved ahead.
   void most_permits_wait_for_no_commit() {
-    permit_desk desk;
+    permit_allocator desk;
     tenants::quota_account account;
     timestamp now = timestamp_from(1000);
     int at_once = 0;
@@ -185,16 +185,16 @@
     for (int number = 0; number < asked; ++number) {
       now += duration_ms{20};
       const auto time = milliseconds_of(now);
-      permit_question question{.reply_to = "gateway",
-                               .id = static_cast<std::uint64_t>(number)};
-      question.wanted.set_tenant("a");
-      wire::QuotaTerms &terms = *question.wanted.mutable_terms();
+      gateway_permit_request request{.reply_to = "gateway",
+                                     .id = static_cast<std::uint64_t>(number)};
+      request.wanted.set_tenant("a");
+      wire::QuotaTerms &terms = *request.wanted.mutable_terms();
       terms.set_version(1);
       terms.set_millirequests_per_second(100000);
       terms.set_window_ms(5000);
-      desk.ask(std::move(question), time, now);
+      desk.request_permit(std::move(request), time, now);
       at_once += desk.take_replies().empty() ? 0 : 1;
-      for (const wire::ReserveQuota &wanted : desk.due(now)) {
+      for (const wire::ReserveQuota &wanted : desk.take_reservations(now)) {
         const auto made = account.reserve(from_wire(wanted), time);
         desk.on_reserved(to_wire(made, "a"), time, now);
       }
@@ -204,7 +204,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(permit_desk_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(permit_allocator_test);
 
 } // namespace
 } // namespace heathtrestle::records
--- a/tests/support/quota_fleet.hpp
+++ b/tests/support/quota_fleet.hpp
@@ -4,7 +4,7 @@
 // leaders replaced that don't know it yet.
 #pragma once
 
-#include "records/permit_desk.hpp"
+#include "records/permit_allocator.hpp"
 #include "records/quota_clock.hpp"
 #include "records/quota_messages.hpp"
 #include "tenants/quota_account.hpp"
@@ -39,7 +39,7 @@
         started_(gateways, 0), version_(gateways, 1), nodes_(nodes) {
     terms_[1] = terms_of(quota, 1);
     for (node &each : nodes_) {
-      each.clock.follow(0, now_);
+      each.clock.synchronize(0, now_);
     }
     change_leader();
   }
@@ -96,7 +96,7 @@
     }
     commits_.clear();
     for (node &each : nodes_) {
-      each.clock.follow(time_, now_);
+      each.clock.synchronize(time_, now_);
     }
   }
   /// A configuration with another quota; gateways hear of it one by one.
@@ -155,7 +155,7 @@
   static constexpr duration_ms step{5};
 
   struct node {
-    records::permit_desk desk;
+    records::permit_allocator desk;
     records::quota_clock clock;
     std::uint64_t term = 0;
   };
@@ -258,20 +258,20 @@
       return; // never led
     }
     const bool leads = serving.term == term_;
-    for (wire::ReserveQuota &each : serving.desk.due(now_)) {
+    for (wire::ReserveQuota &each : serving.desk.take_reservations(now_)) {
       if (!leads) {
         continue; // never recorded
       }
       commits_.push_back({.due = now_ + draw(troubles_.longest_commit),
                           .term = serving.term,
                           .proposer = number,
-                          .time = serving.clock.read(now_),
+                          .time = serving.clock.time_at(now_),
                           .wanted = std::move(each)});
     }
     for (records::permit_reply &each : serving.desk.take_replies()) {
       if (!is_lost()) {
         events_.push_back({.due = now_ + draw(troubles_.longest_way),
-                           .request = each.question.id,
+                           .request = each.request.id,
                            .what = event::kind::answered,
                            .node = number,
                            .answer = std::move(each.answer)});
@@ -290,12 +290,12 @@
         if (number != each.proposer) {
           // Applied by the others now or later; a clock that follows later is
           // only slower.
-          nodes_[number].clock.follow(time_, now_);
+          nodes_[number].clock.synchronize(time_, now_);
         }
       }
       node &proposer = nodes_[each.proposer];
       proposer.desk.on_reserved(records::to_wire(made, each.wanted.tenant()),
-                                proposer.clock.read(now_), now_);
+                                proposer.clock.time_at(now_), now_);
     }
   }
 
@@ -317,10 +317,10 @@
       wanted.set_begins_program(of.begins);
       *wanted.mutable_terms() = records::to_wire(terms_[version_[of.gateway]]);
       if (asked.term != 0) {
-        asked.desk.ask({.reply_to = std::to_string(of.gateway),
-                        .id = each.request,
-                        .wanted = std::move(wanted)},
-                       asked.clock.read(now_), now_);
+        asked.desk.request_permit({.reply_to = std::to_string(of.gateway),
+                                   .id = each.request,
+                                   .wanted = std::move(wanted)},
+                                  asked.clock.time_at(now_), now_);
       }
       return;
     }
