--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -313,7 +313,7 @@
 
 http::page gateway_process::peer_page(std::string_view target) {
   if (target == peer_contact_path) {
-    return ledger_.contact().heard_lately(steady_now())
+    return ledger_.failure_detector().heard_lately(steady_now())
                ? http::page{.body = "heard\n"}
                : http::page{.status = status_unavailable,
                             .body = "not heard\n"};
@@ -451,9 +451,10 @@
   while (true) {
     timer.expires_after(contact_check);
     co_await timer.async_wait(as_result);
-    ledger_.check_contact();
-    if (ledger_.contact().state() != records::contact_state::in_touch) {
-      ledger_.on_peer_opinion(co_await contacts_.ask());
+    ledger_.check_reachability();
+    if (ledger_.failure_detector().state() !=
+        records::group_reachability::reachable) {
+      ledger_.on_peer_reachability(co_await contacts_.ask());
     }
   }
 }
--- a/src/forwarding/peer_contacts.cpp
+++ b/src/forwarding/peer_contacts.cpp
@@ -35,9 +35,9 @@
   }
 }
 
-asio::awaitable<records::peer_opinion> peer_contacts::ask() {
+asio::awaitable<records::peer_reachability> peer_contacts::ask() {
   if (peers_.empty()) {
-    co_return records::peer_opinion::nobody_known;
+    co_return records::peer_reachability::no_peers;
   }
   const auto counted = std::make_shared<tally>();
   for (const auto &each : peers_) {
@@ -53,10 +53,10 @@
     co_await timer.async_wait(as_result);
   }
   if (counted->hear_it > 0) {
-    co_return records::peer_opinion::heard;
+    co_return records::peer_reachability::reachable;
   }
-  co_return counted->answers > 0 ? records::peer_opinion::unheard
-                                 : records::peer_opinion::no_answer;
+  co_return counted->answers > 0 ? records::peer_reachability::unreachable
+                                 : records::peer_reachability::no_answer;
 }
 
 } // namespace heathtrestle::forwarding
--- a/src/forwarding/peer_contacts.hpp
+++ b/src/forwarding/peer_contacts.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "http/call_client.hpp"
-#include "records/group_contact.hpp"
+#include "records/group_failure_detector.hpp"
 #include "runtime/asio.hpp"
 
 #include <memory>
@@ -23,7 +23,7 @@
                 const std::vector<std::string> &addresses);
 
   /// Asks all of them at the same time. Returns within half a second.
-  asio::awaitable<records::peer_opinion> ask();
+  asio::awaitable<records::peer_reachability> ask();
 
 private:
   struct tally {
--- a/src/records/group_contact.hpp
+++ b/src/records/group_failure_detector.hpp
@@ -11,43 +11,43 @@
 namespace heathtrestle::records {
 
 /// What other gateways answered to whether they hear the group.
-enum class peer_opinion : std::uint8_t {
+enum class peer_reachability : std::uint8_t {
   /// There is nobody to ask.
-  nobody_known,
+  no_peers,
   /// Nobody answered.
   no_answer,
   /// Somebody answered, and none that did hears the group.
-  unheard,
+  unreachable,
   /// One of them hears it.
-  heard,
+  reachable,
 };
 
-enum class contact_state : std::uint8_t {
-  in_touch,
+enum class group_reachability : std::uint8_t {
+  reachable,
   /// Nothing was heard for a while though something was asked.
-  silent,
+  unreachable,
   /// It is silent for this process, and not for others.
   cut_off,
 };
 
-class group_contact {
+class group_failure_detector {
 public:
   /// A node of the group has answered something.
-  void on_heard(timestamp now);
+  void on_reply(timestamp now);
   /// @param unanswered_since when the oldest question without any answer since
   /// was asked; the epoch for none.
   void check(timestamp unanswered_since, timestamp now);
-  void on_opinion(peer_opinion opinion);
+  void on_peer_reachability(peer_reachability opinion);
 
-  [[nodiscard]] contact_state state() const { return state_; }
+  [[nodiscard]] group_reachability state() const { return state_; }
   [[nodiscard]] bool cut_off() const {
-    return state_ == contact_state::cut_off;
+    return state_ == group_reachability::cut_off;
   }
   /// True when something was heard so lately that others may rely on it.
   [[nodiscard]] bool heard_lately(timestamp now) const;
 
 private:
-  contact_state state_ = contact_state::in_touch;
+  group_reachability state_ = group_reachability::reachable;
   timestamp heard_{};
 };
 
--- a/src/records/ledger_client.cpp
+++ b/src/records/ledger_client.cpp
@@ -468,7 +468,7 @@
 }
 
 void ledger_client::check_served(timestamp now) {
-  if (contact_.check(first_unanswered_, now)) {
+  if (contact_.open_if_overdue(first_unanswered_, now)) {
     logging::line(logging::event::partition_unserved)
         .field("partition", options_.partition)
         .field("silent_ms", (now - first_unanswered_).count())
@@ -476,7 +476,7 @@
         .write();
     give_up_grants();
   }
-  if (!contact_.take_probe(now)) {
+  if (!contact_.start_probe_if_due(now)) {
     return;
   }
   if (std::exchange(leader_is_named_, false)) {
--- a/src/records/ledger_client.hpp
+++ b/src/records/ledger_client.hpp
@@ -3,7 +3,7 @@
 // same time.
 #pragma once
 
-#include "records/partition_contact.hpp"
+#include "records/partition_circuit_breaker.hpp"
 #include "records/retry_timeout.hpp"
 #include "records/turn_ledger.hpp"
 #include "rpc/transport.hpp"
@@ -151,7 +151,7 @@
   std::string leader_;
   std::size_t next_member_ = 0;
   retry_timeout patience_;
-  partition_contact contact_;
+  partition_circuit_breaker contact_;
   /// A node has named `leader_`, and it was not asked since.
   bool leader_is_named_ = false;
   timestamp last_answer_{};
--- a/src/records/partition_contact.cpp
+++ b/src/records/partition_circuit_breaker.cpp
@@ -1,4 +1,4 @@
-#include "records/partition_contact.hpp"
+#include "records/partition_circuit_breaker.hpp"
 
 #include <algorithm>
 
@@ -17,13 +17,14 @@
 
 } // namespace
 
-bool partition_contact::on_served() {
+bool partition_circuit_breaker::on_served() {
   const bool was_unserved = !is_served();
   since_ = {};
   return was_unserved;
 }
 
-bool partition_contact::check(timestamp unserved_since, timestamp now) {
+bool partition_circuit_breaker::open_if_overdue(timestamp unserved_since,
+                                                timestamp now) {
   const bool lost = is_served() && unserved_since != timestamp{} &&
                     now >= unserved_since + patience_;
   if (lost) {
@@ -32,11 +33,11 @@
   return lost;
 }
 
-duration_ms partition_contact::retry_after(timestamp now) const {
+duration_ms partition_circuit_breaker::retry_after(timestamp now) const {
   return std::clamp(now - since_, least_retry, longest_retry);
 }
 
-bool partition_contact::take_probe(timestamp now) {
+bool partition_circuit_breaker::start_probe_if_due(timestamp now) {
   const bool due = !is_served() && now >= next_probe_;
   if (due) {
     next_probe_ = now + probe_interval;
--- a/src/records/partition_contact.hpp
+++ b/src/records/partition_circuit_breaker.hpp
@@ -11,11 +11,12 @@
 
 namespace heathtrestle::records {
 
-class partition_contact {
+class partition_circuit_breaker {
 public:
   /// @param patience how long questions may go without an answer of a leader
   /// until the partition counts as unserved.
-  explicit partition_contact(duration_ms patience) : patience_(patience) {}
+  explicit partition_circuit_breaker(duration_ms patience)
+      : patience_(patience) {}
 
   /// A leader has answered.
   /// @return true when the partition was unserved until now.
@@ -23,7 +24,7 @@
   /// @param unserved_since when the oldest question was asked that no leader
   /// has answered since; the epoch for none.
   /// @return true when the partition counts as unserved from now on.
-  bool check(timestamp unserved_since, timestamp now);
+  bool open_if_overdue(timestamp unserved_since, timestamp now);
 
   [[nodiscard]] bool is_served() const { return since_ == timestamp{}; }
   /// When a caller that is refused had better come back: an outage is likely to
@@ -31,7 +32,7 @@
   [[nodiscard]] duration_ms retry_after(timestamp now) const;
   /// True when it is time to ask whether the partition is back; counts as
   /// asked.
-  bool take_probe(timestamp now);
+  bool start_probe_if_due(timestamp now);
 
 private:
   duration_ms patience_;
--- a/src/records/partitioned_ledger.cpp
+++ b/src/records/partitioned_ledger.cpp
@@ -150,7 +150,7 @@
   client.settle(std::move(end));
 }
 
-void partitioned_ledger::check_contact() {
+void partitioned_ledger::check_reachability() {
   const timestamp now = steady_now();
   timestamp oldest{};
   for (const auto &client : clients_) {
@@ -159,7 +159,7 @@
         since != timestamp{} && (oldest == timestamp{} || since < oldest);
     oldest = older ? since : oldest;
   }
-  const contact_state before = contact_.state();
+  const group_reachability before = contact_.state();
   contact_.check(oldest, now);
   if (before != contact_.state()) {
     logging::line(logging::event::dependency_lost)
@@ -167,15 +167,15 @@
         .field("reason", "no node answers")
         .write();
   }
-  if (contact_.state() != contact_state::in_touch && now >= next_probe_) {
+  if (contact_.state() != group_reachability::reachable && now >= next_probe_) {
     next_probe_ = now + probe_interval;
     clients_.front()->probe();
   }
 }
 
-void partitioned_ledger::on_peer_opinion(peer_opinion opinion) {
+void partitioned_ledger::on_peer_reachability(peer_reachability opinion) {
   const bool was_cut_off = contact_.cut_off();
-  contact_.on_opinion(opinion);
+  contact_.on_peer_reachability(opinion);
   if (was_cut_off == contact_.cut_off()) {
     return;
   }
@@ -192,12 +192,12 @@
 }
 
 void partitioned_ledger::on_message(const wire::Envelope &envelope) {
-  if (contact_.state() != contact_state::in_touch) {
+  if (contact_.state() != group_reachability::reachable) {
     logging::line(logging::event::dependency_regained)
         .field("dependency", "record group")
         .write();
   }
-  contact_.on_heard(steady_now());
+  contact_.on_reply(steady_now());
   const std::size_t number = envelope.record_partition();
   if (number < clients_.size()) {
     clients_[number]->on_message(envelope);
--- a/src/records/partitioned_ledger.hpp
+++ b/src/records/partitioned_ledger.hpp
@@ -2,7 +2,7 @@
 // and the way of a program that goes on from a turn of another partition.
 #pragma once
 
-#include "records/group_contact.hpp"
+#include "records/group_failure_detector.hpp"
 #include "records/ledger_client.hpp"
 #include "records/turn_ledger.hpp"
 
@@ -34,10 +34,12 @@
   [[nodiscard]] bool cut_off() const override { return contact_.cut_off(); }
   [[nodiscard]] std::vector<storage_place> storage_places() const override;
   /// Notices silence of the whole group, and its end. To be called often.
-  void check_contact();
+  void check_reachability();
   /// What other gateways say while this one hears nothing.
-  void on_peer_opinion(peer_opinion opinion);
-  [[nodiscard]] const group_contact &contact() const { return contact_; }
+  void on_peer_reachability(peer_reachability opinion);
+  [[nodiscard]] const group_failure_detector &failure_detector() const {
+    return contact_;
+  }
 
   /// Takes in an answer of the group.
   void on_message(const wire::Envelope &envelope);
@@ -67,7 +69,7 @@
 
   asio::io_context &io_;
   std::vector<std::unique_ptr<ledger_client>> clients_;
-  group_contact contact_;
+  group_failure_detector contact_;
   timestamp next_probe_{};
 };
 
--- a/tests/forwarding/peer_contacts_test.cpp
+++ b/tests/forwarding/peer_contacts_test.cpp
@@ -11,7 +11,7 @@
 namespace heathtrestle::forwarding {
 namespace {
 
-using records::peer_opinion;
+using records::peer_reachability;
 using test_support::await_result;
 
 constexpr std::uint32_t status_unavailable = 503;
@@ -45,7 +45,7 @@
     return address;
   }
 
-  peer_opinion ask(const std::vector<std::string> &addresses) {
+  peer_reachability ask(const std::vector<std::string> &addresses) {
     peer_contacts contacts(io_, addresses);
     return await_result(io_, contacts.ask());
   }
@@ -54,22 +54,22 @@
   void tearDown() override { io_.stop(); }
 
   void nobody_is_known() {
-    CPPUNIT_ASSERT(ask({}) == peer_opinion::nobody_known);
+    CPPUNIT_ASSERT(ask({}) == peer_reachability::no_peers);
   }
 
   void nobody_answers() {
     CPPUNIT_ASSERT(ask({free_address(), free_address()}) ==
-                   peer_opinion::no_answer);
+                   peer_reachability::no_answer);
   }
 
   void one_that_hears_the_group_decides() {
     CPPUNIT_ASSERT(ask({free_address(), serve(false), serve(true)}) ==
-                   peer_opinion::heard);
+                   peer_reachability::reachable);
   }
 
   void one_that_answers_hears_nothing() {
     CPPUNIT_ASSERT(ask({free_address(), serve(false)}) ==
-                   peer_opinion::unheard);
+                   peer_reachability::unreachable);
   }
 };
 
--- a/tests/records/partition_contact_test.cpp
+++ b/tests/records/partition_circuit_breaker_test.cpp
@@ -1,12 +1,12 @@
-#include "records/partition_contact.hpp"
+#include "records/partition_circuit_breaker.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 namespace heathtrestle::records {
 namespace {
 
-class partition_contact_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(partition_contact_test);
+class partition_circuit_breaker_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(partition_circuit_breaker_test);
   CPPUNIT_TEST(an_election_is_waited_for);
   CPPUNIT_TEST(a_loss_and_a_return_are_told_once);
   CPPUNIT_TEST(callers_are_sent_away_for_as_long_as_it_has_lasted);
@@ -14,19 +14,22 @@
   CPPUNIT_TEST_SUITE_END();
 
   const timestamp start_ = timestamp_from(10000);
-  partition_contact contact_{duration_ms{1500}};
+  partition_circuit_breaker contact_{duration_ms{1500}};
 
 public:
   void an_election_is_waited_for() {
-    CPPUNIT_ASSERT(!contact_.check({}, start_));
-    CPPUNIT_ASSERT(!contact_.check(start_, start_ + duration_ms{1499}));
+    CPPUNIT_ASSERT(!contact_.open_if_overdue({}, start_));
+    CPPUNIT_ASSERT(
+        !contact_.open_if_overdue(start_, start_ + duration_ms{1499}));
     CPPUNIT_ASSERT(contact_.is_served());
-    CPPUNIT_ASSERT(!contact_.take_probe(start_ + duration_ms{1499}));
+    CPPUNIT_ASSERT(!contact_.start_probe_if_due(start_ + duration_ms{1499}));
   }
 
   void a_loss_and_a_return_are_told_once() {
-    CPPUNIT_ASSERT(contact_.check(start_, start_ + duration_ms{1500}));
-    CPPUNIT_ASSERT(!contact_.check(start_, start_ + duration_ms{1600}));
+    CPPUNIT_ASSERT(
+        contact_.open_if_overdue(start_, start_ + duration_ms{1500}));
+    CPPUNIT_ASSERT(
+        !contact_.open_if_overdue(start_, start_ + duration_ms{1600}));
     CPPUNIT_ASSERT(!contact_.is_served());
     CPPUNIT_ASSERT(contact_.on_served());
     CPPUNIT_ASSERT(!contact_.on_served());
@@ -34,7 +37,7 @@
   }
 
   void callers_are_sent_away_for_as_long_as_it_has_lasted() {
-    contact_.check(start_, start_ + duration_ms{1500});
+    contact_.open_if_overdue(start_, start_ + duration_ms{1500});
     const auto after = [this](int ms) {
       return contact_.retry_after(start_ + duration_ms{ms}).count();
     };
@@ -45,14 +48,14 @@
 
   void probes_are_spaced() {
     const timestamp lost = start_ + duration_ms{1500};
-    contact_.check(start_, lost);
-    CPPUNIT_ASSERT(contact_.take_probe(lost));
-    CPPUNIT_ASSERT(!contact_.take_probe(lost + duration_ms{200}));
-    CPPUNIT_ASSERT(contact_.take_probe(lost + duration_ms{250}));
+    contact_.open_if_overdue(start_, lost);
+    CPPUNIT_ASSERT(contact_.start_probe_if_due(lost));
+    CPPUNIT_ASSERT(!contact_.start_probe_if_due(lost + duration_ms{200}));
+    CPPUNIT_ASSERT(contact_.start_probe_if_due(lost + duration_ms{250}));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(partition_contact_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(partition_circuit_breaker_test);
 
 } // namespace
 } // namespace heathtrestle::records
--- a/tests/records/partitioned_ledger_test.cpp
+++ b/tests/records/partitioned_ledger_test.cpp
@@ -143,7 +143,7 @@
     begin(program, "one", "");
     group_.silent = {0, 1, 2, 3};
     // The patience is longer than the test may take: only the cut ends it.
-    asio::co_spawn(io_, cut_off_once_silent(peer_opinion::heard),
+    asio::co_spawn(io_, cut_off_once_silent(peer_reachability::reachable),
                    asio::detached);
     CPPUNIT_ASSERT(begin(program, "two", "", an_hour).verdict ==
                    turn_verdict::unavailable);
@@ -154,7 +154,7 @@
     CPPUNIT_ASSERT_EQUAL(asked, group_.asked[1]);
     group_.silent.clear();
     while (ledger_->cut_off()) { // a probe restores contact
-      ledger_->check_contact();
+      ledger_->check_reachability();
       io_.restart();
       io_.run_one_for(duration_ms{20});
     }
@@ -163,7 +163,7 @@
 
   void a_group_that_is_down_for_all_is_waited_for() {
     group_.silent = {0, 1, 2, 3};
-    asio::co_spawn(io_, cut_off_once_silent(peer_opinion::unheard),
+    asio::co_spawn(io_, cut_off_once_silent(peer_reachability::unreachable),
                    asio::detached);
     asio::co_spawn(io_, ledger_->run(), asio::detached);
     CPPUNIT_ASSERT(begin(program_in(1), "one", "", an_hour).verdict ==
@@ -175,15 +175,16 @@
 
   /// Waits until the silence is noticed, and takes in what others say of it.
   /// If they do not hear the group either, it comes back.
-  asio::awaitable<void> cut_off_once_silent(peer_opinion opinion) {
+  asio::awaitable<void> cut_off_once_silent(peer_reachability opinion) {
     asio::steady_timer timer(io_);
-    while (ledger_->contact().state() == contact_state::in_touch) {
+    while (ledger_->failure_detector().state() ==
+           group_reachability::reachable) {
       timer.expires_after(duration_ms{20});
       co_await timer.async_wait(as_result);
-      ledger_->check_contact();
+      ledger_->check_reachability();
     }
-    ledger_->on_peer_opinion(opinion);
-    if (opinion != peer_opinion::heard) {
+    ledger_->on_peer_reachability(opinion);
+    if (opinion != peer_reachability::reachable) {
       group_.silent.clear();
     }
   }
