--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -406,7 +406,7 @@
   int rounds = is_seed ? rounds_without_store : 0;
   duration_ms pause = first_lookup_pause;
   while (true) {
-    if (ledger_.is_lost()) {
+    if (ledger_.is_unresponsive()) {
       const bool knew_some = ledger_.members().members_size() > 0;
       co_await look_up_members(knew_some || rounds >= rounds_without_store);
       ++rounds;
--- a/src/forwarding/gateway_settings.cpp
+++ b/src/forwarding/gateway_settings.cpp
@@ -34,7 +34,7 @@
   schema.address("listen.metrics", settings.metrics_address,
                  "where counters and histograms are served at /metrics", true);
   schema.integer("cluster.tolerated_losses", settings.tolerated_losses, 0,
-                 records::most_tolerated_losses,
+                 records::max_tolerated_losses,
                  "storage nodes that may be lost at once, disks and all");
   records::describe_partitions(schema, settings.partitions,
                                settings.store_writes_per_second);
--- a/src/records/group_failure_detector.cpp
+++ b/src/records/group_failure_detector.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 /// Silence of all nodes that counts as lost contact: two questions asked of
-/// different nodes (`ledger_options::answer_timeout`) and the way of a third.
+/// different nodes (`ledger_options::min_retry_timeout`) and the way of a
+/// third.
 constexpr duration_ms silence_limit{600};
 /// What was heard this long ago says that the group is there. Longer than a
 /// gateway with little traffic goes without a question.
--- a/src/records/ledger_client.cpp
+++ b/src/records/ledger_client.cpp
@@ -102,7 +102,7 @@
                              sender send)
     : io_(io), options_(std::move(options)), send_(std::move(send)),
       next_id_(draw_system_random()),
-      patience_(options_.answer_timeout, options_.longest_answer_timeout),
+      patience_(options_.min_retry_timeout, options_.max_retry_timeout),
       contact_(options_.unserved_after) {}
 
 asio::awaitable<turn_grant> ledger_client::begin(turn_request request,
@@ -238,7 +238,7 @@
   if (!entry->answered) {
     // Nobody waits for it any more, but the tokens were used.
     entry->awaited = false;
-    entry->deadline = steady_now() + options_.settle_patience;
+    entry->deadline = steady_now() + options_.settle_timeout;
     pending_[id] = entry;
   }
   co_return entry->answered;
@@ -248,7 +248,7 @@
   auto entry = std::make_shared<pending>(io_);
   entry->change = to_change(std::move(end));
   entry->added = steady_now();
-  entry->deadline = entry->added + options_.settle_patience;
+  entry->deadline = entry->added + options_.settle_timeout;
   add(entry);
   ++unsettled_;
 }
@@ -390,7 +390,7 @@
     // A group that elects a leader is asked again a little later.
     found->second->sent = names_another ? timestamp{}
                                         : steady_now() - patience_.timeout() +
-                                              options_.answer_timeout / 2;
+                                              options_.min_retry_timeout / 2;
   }
   if (resend_now) {
     flush_soon();
@@ -424,7 +424,7 @@
   members_hash_ = hash_of(members_);
 }
 
-bool ledger_client::is_lost() const {
+bool ledger_client::is_unresponsive() const {
   const bool nobody_known = members_.members_size() == 0;
   const bool unanswered =
       first_unanswered_ != timestamp{} &&
@@ -457,7 +457,7 @@
   send_(leader_, envelope);
 }
 
-void ledger_client::give_up_grants() {
+void ledger_client::cancel_grants() {
   for (const auto &[id, entry] : pending_) {
     const bool is_grant =
         entry->change.has_begin() || entry->change.has_take_permit();
@@ -474,7 +474,7 @@
         .field("silent_ms", (now - first_unanswered_).count())
         .field("held", pending_.size())
         .write();
-    give_up_grants();
+    cancel_grants();
   }
   if (!contact_.start_probe_if_due(now)) {
     return;
--- a/src/records/ledger_client.hpp
+++ b/src/records/ledger_client.hpp
@@ -26,13 +26,13 @@
   std::uint32_t partition = 0;
   /// A question is asked again after this long at the least, and of a group
   /// that answers slowly after more (`retry_timeout`).
-  duration_ms answer_timeout{250};
-  duration_ms longest_answer_timeout{1500};
+  duration_ms min_retry_timeout{250};
+  duration_ms max_retry_timeout{1500};
   /// Ends that nobody waits for travel with the next question, at the latest
   /// after this long.
   duration_ms settle_delay{150};
   /// Ends that cannot be recorded are tried this long.
-  duration_ms settle_patience{30000};
+  duration_ms settle_timeout{30000};
   /// What this process has seen of watched objects; told with each question.
   std::function<wire::SeenRevisions()> seen;
   /// Gets what any gateway has seen, with each answer.
@@ -76,7 +76,7 @@
   void learn_members(const wire::RecordMembers &members);
   [[nodiscard]] const wire::RecordMembers &members() const { return members_; }
   /// True when nothing has answered for a while though something was asked.
-  [[nodiscard]] bool is_lost() const;
+  [[nodiscard]] bool is_unresponsive() const;
   /// Since when something has been waiting for an answer while nothing at all
   /// was heard of this partition; the epoch when nothing waits.
   [[nodiscard]] timestamp unanswered_since() const;
@@ -84,7 +84,7 @@
   void probe();
   /// Ends the wait for grants and permits that have not come: they are
   /// `unavailable`.
-  void give_up_grants();
+  void cancel_grants();
   /// Ends that are not confirmed yet.
   [[nodiscard]] std::size_t unsettled() const { return unsettled_; }
 
--- a/src/records/partitioned_ledger.cpp
+++ b/src/records/partitioned_ledger.cpp
@@ -186,7 +186,7 @@
       .write();
   if (contact_.cut_off()) {
     for (const auto &client : clients_) {
-      client->give_up_grants();
+      client->cancel_grants();
     }
   }
 }
@@ -225,9 +225,10 @@
   return places;
 }
 
-bool partitioned_ledger::is_lost() const {
-  return std::any_of(clients_.begin(), clients_.end(),
-                     [](const auto &client) { return client->is_lost(); });
+bool partitioned_ledger::is_unresponsive() const {
+  return std::any_of(clients_.begin(), clients_.end(), [](const auto &client) {
+    return client->is_unresponsive();
+  });
 }
 
 std::size_t partitioned_ledger::unsettled() const {
--- a/src/records/partitioned_ledger.hpp
+++ b/src/records/partitioned_ledger.hpp
@@ -47,7 +47,7 @@
   void learn_members(const wire::RecordMembers &members);
   [[nodiscard]] const wire::RecordMembers &members() const;
   /// True when some partition has not answered for a while.
-  [[nodiscard]] bool is_lost() const;
+  [[nodiscard]] bool is_unresponsive() const;
   /// Ends that are not confirmed yet, in all partitions.
   [[nodiscard]] std::size_t unsettled() const;
 
--- a/src/records/store_process.cpp
+++ b/src/records/store_process.cpp
@@ -71,7 +71,7 @@
               "whether the whole system starts for the first time, with empty "
               "disks");
   schema.integer("cluster.tolerated_losses", settings.tolerated_losses, 0,
-                 most_tolerated_losses,
+                 max_tolerated_losses,
                  "storage nodes that may be lost at once, disks and all: the "
                  "group has twice as many voters and one more, three at least");
   describe_partitions(schema, settings.partitions,
--- a/tests/records/ledger_client_test.cpp
+++ b/tests/records/ledger_client_test.cpp
@@ -131,7 +131,7 @@
     client_ = std::make_unique<ledger_client>(
         io_,
         ledger_options{.address = "gateway:1",
-                       .answer_timeout = duration_ms{40}},
+                       .min_retry_timeout = duration_ms{40}},
         [this](const std::string &address, const wire::Envelope &envelope) {
           group_.receive(address, envelope);
         });
@@ -294,8 +294,8 @@
     ledger_client client(
         io_,
         ledger_options{.address = "gateway:1",
-                       .answer_timeout = duration_ms{25},
-                       .longest_answer_timeout = duration_ms{400},
+                       .min_retry_timeout = duration_ms{25},
+                       .max_retry_timeout = duration_ms{400},
                        .unserved_after = duration_ms{60000}},
         [this](const std::string &address, const wire::Envelope &envelope) {
           group_.receive(address, envelope);
@@ -336,7 +336,7 @@
     ledger_client client(
         io_,
         {.address = "gateway:1",
-         .answer_timeout = duration_ms{40},
+         .min_retry_timeout = duration_ms{40},
          .unserved_after = duration_ms{100}},
         [this](const std::string &address, const wire::Envelope &envelope) {
           group_.receive(address, envelope);
--- a/tests/records/partitioned_ledger_test.cpp
+++ b/tests/records/partitioned_ledger_test.cpp
@@ -89,10 +89,12 @@
   void the_number_of_partitions_follows_the_settings() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, partition_count(0, 0, 0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, partition_count(0, 1, 5000));
-    CPPUNIT_ASSERT_EQUAL(partitions_when_large, partition_count(0, 2, 0));
-    CPPUNIT_ASSERT_EQUAL(partitions_when_large, partition_count(0, 2, 400));
+    CPPUNIT_ASSERT_EQUAL(min_partitions_for_multiple_losses,
+                         partition_count(0, 2, 0));
+    CPPUNIT_ASSERT_EQUAL(min_partitions_for_multiple_losses,
+                         partition_count(0, 2, 400));
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, partition_count(0, 2, 3200));
-    CPPUNIT_ASSERT_EQUAL(most_partitions, partition_count(0, 2, 1000000));
+    CPPUNIT_ASSERT_EQUAL(max_partitions, partition_count(0, 2, 1000000));
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, partition_count(7, 1, 3200));
   }
 
