--- a/tests/records/permit_allocator_test.cpp
+++ b/tests/records/permit_allocator_test.cpp
@@ -9,8 +9,8 @@
 namespace heathtrestle::records {
 namespace {
 
+using test_support::quota_faults;
 using test_support::quota_fleet;
-using test_support::quota_troubles;
 
 /// What the operator grants at the very most in one window.
 double bound(const tenants::request_quota &quota) {
@@ -89,7 +89,7 @@
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{10000}, 100, length);
     all.change_quota(lower);
-    all.tell_configuration();
+    all.deliver_configuration();
     all.run_programs(quota_fleet::window + duration_ms{100}, 100, length);
     CPPUNIT_ASSERT(all.most_in_window() > 0);
     const timestamp binds = all.now();
@@ -103,7 +103,7 @@
     all.run_programs(duration_ms{10000}, 100, length);
     CPPUNIT_ASSERT(all.refused > 0);
     all.change_quota({.rate_per_second = 300, .burst = 300});
-    all.tell_configuration();
+    all.deliver_configuration();
     all.run_programs(duration_ms{200}, 100, length);
     const int before = all.refused;
     all.run_programs(duration_ms{5000}, 100, length);
@@ -146,7 +146,7 @@
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{10000}, 100, length);
     all.change_quota({.rate_per_second = 60, .burst = 60});
-    all.tell_configuration();
+    all.deliver_configuration();
     const int before = all.begun;
     const int failed = all.failed;
     all.run_programs(quota_fleet::window / 2, 100, length);
--- a/tests/support/quota_fleet.hpp
+++ b/tests/support/quota_fleet.hpp
@@ -23,18 +23,18 @@
 namespace heathtrestle::test_support {
 
 /// What goes wrong on the way, and how often.
-struct quota_troubles {
-  duration_ms longest_way{3};     // of a message, one way
-  duration_ms longest_commit{20}; // until the leader hears of it
-  duration_ms longest_wait{0};    // of a request that has a permit
-  double lost = 0;                // share of messages
-  double misled = 0;              // share of questions to any node
+struct quota_faults {
+  duration_ms max_message_delay{3}; // of a message, one way
+  duration_ms max_commit_delay{20}; // until the leader hears of it
+  duration_ms max_send_delay{0};    // of a request that has a permit
+  double lost = 0;                  // share of messages
+  double misdirected = 0;           // share of questions to any node
 };
 
 class quota_fleet {
 public:
   quota_fleet(std::size_t gateways, tenants::request_quota quota, unsigned seed,
-              quota_troubles troubles = {}, std::size_t nodes = 3)
+              quota_faults troubles = {}, std::size_t nodes = 3)
       : random_(seed), troubles_(troubles), cut_off_(gateways, false),
         started_(gateways, 0), version_(gateways, 1), nodes_(nodes) {
     terms_[1] = terms_of(quota, 1);
@@ -104,15 +104,15 @@
     const std::uint64_t version = terms_.rbegin()->first + 1;
     terms_[version] = terms_of(quota, version);
   }
-  void tell_configuration(std::size_t gateway) {
+  void deliver_configuration(std::size_t gateway) {
     version_[gateway] = terms_.rbegin()->first;
   }
-  void tell_configuration() {
+  void deliver_configuration() {
     for (std::size_t gateway = 0; gateway < version_.size(); ++gateway) {
-      tell_configuration(gateway);
+      deliver_configuration(gateway);
     }
   }
-  void set_troubles(quota_troubles troubles) { troubles_ = troubles; }
+  void set_faults(quota_faults troubles) { troubles_ = troubles; }
 
   /// The most requests sent in any window.
   [[nodiscard]] std::size_t most_in_window() const {
@@ -219,10 +219,10 @@
                      .program = program,
                      .asked = now_};
     // A gateway may ask a leader of before.
-    const bool knows = random_() % 1000 >= troubles_.misled * 1000;
+    const bool knows = random_() % 1000 >= troubles_.misdirected * 1000;
     const std::size_t asked = knows ? leader_ : random_() % nodes_.size();
     if (!cut_off_[gateway] && !is_lost()) {
-      events_.push_back({.due = now_ + draw(troubles_.longest_way),
+      events_.push_back({.due = now_ + draw(troubles_.max_message_delay),
                          .request = id,
                          .what = event::kind::asked,
                          .node = asked});
@@ -262,7 +262,7 @@
       if (!leads) {
         continue; // never recorded
       }
-      commits_.push_back({.due = now_ + draw(troubles_.longest_commit),
+      commits_.push_back({.due = now_ + draw(troubles_.max_commit_delay),
                           .term = serving.term,
                           .proposer = number,
                           .time = serving.clock.time_at(now_),
@@ -270,7 +270,7 @@
     }
     for (records::permit_reply &each : serving.desk.take_replies()) {
       if (!is_lost()) {
-        events_.push_back({.due = now_ + draw(troubles_.longest_way),
+        events_.push_back({.due = now_ + draw(troubles_.max_message_delay),
                            .request = each.request.id,
                            .what = event::kind::answered,
                            .node = number,
@@ -335,7 +335,7 @@
       return;
     }
     if (each.what == event::kind::answered) {
-      events_.push_back({.due = now_ + draw(troubles_.longest_wait),
+      events_.push_back({.due = now_ + draw(troubles_.max_send_delay),
                          .request = each.request,
                          .what = event::kind::sent});
       return;
@@ -368,7 +368,7 @@
   }
 
   std::mt19937_64 random_;
-  quota_troubles troubles_;
+  quota_faults troubles_;
   timestamp now_ = timestamp_from(1000000);
   std::map<std::uint64_t, tenants::quota_terms> terms_;
   std::vector<bool> cut_off_;
--- a/tests/tenants/quota_limit_property_test.cpp
+++ b/tests/tenants/quota_limit_property_test.cpp
@@ -11,8 +11,8 @@
 namespace heathtrestle::tenants {
 namespace {
 
+using test_support::quota_faults;
 using test_support::quota_fleet;
-using test_support::quota_troubles;
 
 std::size_t allowed(const request_quota &quota) {
   const double seconds =
@@ -40,16 +40,16 @@
             .burst = static_cast<double>(random() % 40)};
   }
 
-  static quota_troubles draw_troubles(std::mt19937_64 &random) {
+  static quota_faults draw_troubles(std::mt19937_64 &random) {
     const auto draw = [&random](std::uint64_t longest) {
       return duration_ms{static_cast<std::int64_t>(random() % longest)};
     };
     constexpr double hundredths = 100;
-    return {.longest_way = draw(random() % 3 == 0 ? 2000 : 100),
-            .longest_commit = draw(random() % 3 == 0 ? 3000 : 100),
-            .longest_wait = draw(1000),
+    return {.max_message_delay = draw(random() % 3 == 0 ? 2000 : 100),
+            .max_commit_delay = draw(random() % 3 == 0 ? 3000 : 100),
+            .max_send_delay = draw(1000),
             .lost = static_cast<double>(random() % 30) / hundredths,
-            .misled = static_cast<double>(random() % 50) / hundredths};
+            .misdirected = static_cast<double>(random() % 50) / hundredths};
   }
 
   /// Something that happens between two stretches of load.
@@ -70,7 +70,7 @@
       }
       break;
     default:
-      fleet.set_troubles(draw_troubles(random));
+      fleet.set_faults(draw_troubles(random));
       break;
     }
   }
@@ -107,10 +107,10 @@
         disturb(fleet, random);
       }
       fleet.change_quota(after);
-      fleet.set_troubles({});
+      fleet.set_faults({});
       fleet.heal();
       for (std::size_t gateway = 0; gateway < fleet.gateways(); ++gateway) {
-        fleet.tell_configuration(gateway);
+        fleet.deliver_configuration(gateway);
         fleet.run(duration_ms{5}, 200);
       }
       // The partition hears of it with the next question.
