--- a/tests/records/node_load_test.cpp
+++ b/tests/records/node_load_test.cpp
@@ -32,7 +32,7 @@
     CPPUNIT_ASSERT(sums);
     load_sums expected;
     expected.longest_queue = 3;
-    expected.max_send_delay = 90ms;
+    expected.longest_wait = 90ms;
     expected.questions = 5;
     expected.repeated_questions = 2;
     expected.settled_questions = 3;
