--- a/src/raft/consensus.cpp
+++ b/src/raft/consensus.cpp
@@ -30,11 +30,11 @@
   commit_ = std::max(commit_, std::min(saved_hard_.settled_voters, last()));
   refresh_voters();
   reset_election_deadline(now, random);
-  const duration_ms early = options_.restart_election_timeout;
-  if (early.count() > 0) {
+  const duration_ms restart_timeout = options_.restart_election_timeout;
+  if (restart_timeout.count() > 0) {
     const auto spread = static_cast<std::int64_t>(
-        random % static_cast<std::uint64_t>(early.count()));
-    election_deadline_ = now + early + duration_ms{spread};
+        random % static_cast<std::uint64_t>(restart_timeout.count()));
+    election_deadline_ = now + restart_timeout + duration_ms{spread};
   }
 }
 
@@ -42,14 +42,14 @@
   if (role_ == role::leader) {
     if (!heard_from_majority(now, 2 * options_.election_timeout)) {
       // A majority may already follow another leader. Nothing can be committed
-      // here, so say so instead of letting callers wait.
+      // here, so step down rather than let callers wait.
       become_follower(term_, now, random);
       return;
     }
-    forget_removed(now);
+    drop_removed_peers(now);
     if (now >= next_heartbeat_) {
-      // Aligned to the clock, so that all partitions led here beat at once
-      // and their heartbeats to one peer travel in one message.
+      // Align heartbeats to the clock, so that all partitions led by this node
+      // send them at the same time and those to one peer share a message.
       const auto into_interval =
           now.time_since_epoch() % options_.heartbeat_interval;
       next_heartbeat_ = now - into_interval + options_.heartbeat_interval;
@@ -93,7 +93,7 @@
     return;
   }
   if (follows_leader && !request.transfer()) {
-    return; // a live leader is not unseated by a replica that lost touch
+    return; // ignore candidates while there is a live leader
   }
   if (request.term() > term_) {
     become_follower(request.term(), now, random);
@@ -142,9 +142,9 @@
     return false;
   }
   for (const auto &[peer, state] : peers_) {
-    const bool fit =
+    const bool is_eligible =
         eligible.contains(peer) && is_voter(peer) && state.match == last();
-    if (fit) {
+    if (is_eligible) {
       wire::Envelope envelope;
       envelope.mutable_transfer_leadership()->set_partition(partition_.value());
       envelope.mutable_transfer_leadership()->set_term(term_);
@@ -184,10 +184,10 @@
   if (dead == 0) {
     return majority();
   }
-  // Two conditions make this safe. An entry that is committed is held by a
-  // majority, of which at most `dead` are gone for good; so many votes meet at
-  // least one of the rest. And two leaders of one term would need more live
-  // voters than there are, since no dead one votes again.
+  // Two conditions make this safe. A committed entry is held by a majority, of
+  // which at most `dead` replicas are lost, so that the quorum includes at
+  // least one of the remaining holders. And two leaders of one term would need
+  // more live voters than exist, since a dead one never votes again.
   const std::size_t live = voters_.size() - dead;
   const std::size_t meets_commits = voters_.size() - majority() + 1;
   const std::size_t meets_votes = live / 2 + 1;
@@ -230,7 +230,7 @@
   leader_ = leader;
   leader_heard_ = now;
   if (!voted_for_.has_value()) {
-    // The term has its leader; no other candidate may get this vote.
+    // The term has a leader, so this vote must not go to another candidate.
     voted_for_ = leader;
   }
   reset_election_deadline(now, random);
@@ -261,7 +261,7 @@
   role_ = role::candidate;
   leader_.reset();
   pre_vote_round_ = pre_vote;
-  stood_on_request_ = transfer;
+  elected_by_transfer_ = transfer;
   votes_ = {self_};
   reset_election_deadline(now, random);
   if (!pre_vote) {
@@ -294,7 +294,7 @@
     return;
   }
   if (pre_vote_round_) {
-    // The deadline drawn for the pre-vote still holds for the vote itself.
+    // The deadline of the pre-vote applies to the vote as well.
     const timestamp deadline = election_deadline_;
     start_election(false, false, now, 0, out);
     election_deadline_ = deadline;
--- a/src/raft/consensus_log.cpp
+++ b/src/raft/consensus_log.cpp
@@ -1,5 +1,5 @@
-// The replica's log: taking in and passing on entries, committing them, and
-// changing the replica set.
+// The log of a replica: appending, replicating and committing entries,
+// compaction, and changes of the replica set.
 #include "raft/consensus.hpp"
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A learner this close to the end of the log may become a voter.
+/// A learner that lacks no more entries than this may become a voter.
 constexpr std::uint64_t learner_lag_limit = 8;
-/// A snapshot that brought no answer is sent again after this long.
+/// A snapshot without an acknowledgement is sent again after this long.
 constexpr duration_ms snapshot_retry{2000};
-/// The log grows by this part beyond the bytes that are kept before any are
-/// dropped, so that this is not worked out for each entry.
+/// The log may exceed `retained_bytes` by this fraction before it is compacted,
+/// so that compaction does not run for every entry.
 constexpr std::size_t slack_divisor = 8;
 
 bool contains(const std::vector<replica_id> &replicas,
@@ -39,8 +39,8 @@
   return replicas;
 }
 
-/// @return true when `after` has one replica less and its node's other identity
-/// in its place, and the one that is missing is among the dead.
+/// @return true when the sets differ in one replica, which is dead and is
+/// replaced by another identity of the same node.
 bool replaces_dead(const std::vector<replica_id> &before,
                    const std::vector<replica_id> &after,
                    const std::set<replica_id> &dead) {
@@ -101,7 +101,7 @@
   for (const wire::LogEntry &received : request.entries()) {
     matched = received.index();
     if (received.index() <= base_index_) {
-      continue; // applied and dropped here, hence committed and the same
+      continue; // compacted here, hence committed and identical
     }
     if (received.index() <= last()) {
       if (term_at(received.index()) == received.term()) {
@@ -136,14 +136,14 @@
   state.probing = !reply.success();
   state.entries_sent.reset();
   if (!reply.success()) {
-    state.told = std::min(reply.match_index(), last());
-    state.next = std::max(state.match, *state.told) + 1;
-    // Entries that were under way with a snapshot are refused until it is
-    // there; that is no reason to send it again.
+    state.reported_last_index = std::min(reply.match_index(), last());
+    state.next = std::max(state.match, *state.reported_last_index) + 1;
+    // Entries sent along with a snapshot are refused until it is installed;
+    // that is no reason to send the snapshot again.
     state.snapshot_pending =
         state.snapshot_pending && state.next <= base_index_;
     // A follower that holds less than it once acknowledged would refuse the
-    // same place again and again; it hears more with the next heartbeat.
+    // same entries again and again; it is retried with the next heartbeat.
     const bool may_succeed = reply.match_index() >= state.match;
     if (may_succeed) {
       replicate_to(follower, now, out);
@@ -152,7 +152,8 @@
   }
   if (reply.match_index() > state.match) {
     state.match = reply.match_index();
-    // Acknowledgements of old entries do not mean that the snapshot is there.
+    // Acknowledgements of older entries do not show that the snapshot is
+    // installed.
     state.snapshot_pending =
         state.snapshot_pending && state.match < base_index_;
     advance_commit(now);
@@ -170,7 +171,8 @@
     return term_;
   }
   follow(leader, heartbeat.term(), now, random);
-  // Safe: the leader never announces more than this log is known to match.
+  // Safe: the leader announces no commit index beyond what this log is known to
+  // match.
   commit_ = std::max(commit_, std::min(heartbeat.commit(), last()));
   return term_;
 }
@@ -188,13 +190,13 @@
   }
   progress &state = found->second;
   state.last_heard = now;
-  const bool moves = options_.probe_interval.count() > 0 &&
-                     state.match > state.match_at_heartbeat;
+  const bool is_progressing = options_.probe_interval.count() > 0 &&
+                              state.match > state.match_at_heartbeat;
   state.match_at_heartbeat = state.match;
   const bool under_way = state.entries_sent.has_value() &&
                          now < *state.entries_sent + options_.resend_after;
-  if (state.match < last() && !moves && !under_way) {
-    state.next = first_unsent(state); // whatever was under way may be lost
+  if (state.match < last() && !is_progressing && !under_way) {
+    state.next = first_unsent(state); // entries in flight may be lost
     state.probing = true;
     state.entries_sent.reset();
     replicate_to(follower, now, out);
@@ -202,13 +204,16 @@
 }
 
 std::uint64_t consensus::first_unsent(const progress &state) const {
-  const bool asks = options_.probe_interval.count() > 0 && state.match == 0;
-  if (!asks) {
+  const bool probes_log_end =
+      options_.probe_interval.count() > 0 && state.match == 0;
+  if (!probes_log_end) {
     return state.match + 1;
   }
-  // A follower that has acknowledged nothing yet need not lack everything: it
-  // is asked at the log's end, and its refusal tells where its own ends.
-  return state.told.has_value() ? *state.told + 1 : last();
+  // A follower that has acknowledged nothing yet does not necessarily lack
+  // everything: it is probed at the end of the log, and its refusal reports
+  // where its own log ends.
+  return state.reported_last_index.has_value() ? *state.reported_last_index + 1
+                                               : last();
 }
 
 bool consensus::handle(const wire::SnapshotRequest &request, timestamp now,
@@ -290,15 +295,15 @@
   }
   const bool alone = election_quorum() == 1 && is_voter(self_);
   if (!established() && !alone) {
-    // Without a committed entry of this term a change proposed by an earlier
-    // leader could still take effect beside this one. A replica without which
-    // no election succeeds has no such leader beside it; it could commit
-    // nothing before the dead one is replaced.
+    // Without a committed entry of this term, a change proposed by an earlier
+    // leader could still take effect beside this one. When one vote is enough
+    // for an election and this replica has it, there can be no such leader; it
+    // could commit nothing before the dead replica is replaced.
     return propose_error::term_not_established;
   }
-  // Replacing a dead replica in one step is safe: every majority before it
-  // consisted of the others, and each majority after it has all but one of its
-  // members among them, so the two meet.
+  // Replacing a dead replica in one step is safe: a majority before the change
+  // consists of the other replicas, and a majority after it has all but one of
+  // its members among them, so the two intersect.
   const bool acceptable =
       differs_in_one(voters_, voters) || replaces_dead(voters_, voters, dead_);
   if (voters_index_ > commit_ || !acceptable) {
@@ -411,16 +416,17 @@
   if (silent) {
     return;
   }
-  const bool probes = options_.probe_interval.count() > 0 && state.probing;
-  if (probes) {
-    // Each refusal of entries that were under way would else bring the whole
-    // backlog again.
+  const bool limits_probes =
+      options_.probe_interval.count() > 0 && state.probing;
+  if (limits_probes) {
+    // Without this, each refusal of entries in flight would resend the whole
+    // backlog.
     const bool under_way = state.entries_sent.has_value() &&
                            now < *state.entries_sent + options_.resend_after;
-    if (under_way || now < state.probed + options_.probe_interval) {
+    if (under_way || now < state.last_probe + options_.probe_interval) {
       return;
     }
-    state.probed = now;
+    state.last_probe = now;
   }
   if (state.next <= base_index_) {
     const bool wait =
@@ -439,7 +445,7 @@
   const bool unacknowledged = state.next > state.match + 1;
   const bool must_wait = too_far_ahead || (has_backlog && unacknowledged);
   if (must_wait && state.match > 0) {
-    return; // goes on with the next acknowledgement or heartbeat
+    return; // resumed by the next acknowledgement or heartbeat reply
   }
   wire::Envelope envelope;
   wire::AppendRequest &request = *envelope.mutable_append_request();
@@ -472,8 +478,9 @@
   if (voters_.empty()) {
     return;
   }
-  const std::uint64_t held = held_by_majorities();
-  // Only entries of the own term are committed by counting (Raft, 5.4.2).
+  const std::uint64_t held = quorum_match_index();
+  // Only entries of the current term are committed by counting replicas (Raft,
+  // 5.4.2).
   if (held <= commit_ || held <= base_index_ || term_at(held) != term_) {
     return;
   }
@@ -496,22 +503,23 @@
   return counted;
 }
 
-std::uint64_t consensus::held_by_majorities() const {
-  const std::uint64_t held = held_by_majority(voters_, {});
+std::uint64_t consensus::quorum_match_index() const {
+  const std::uint64_t held = majority_match_index(voters_, {});
   if (!change_in_progress()) {
     return held;
   }
-  // Where voters are dead, an election among the old voters needs only enough
-  // votes to meet each majority of theirs. So until the change is committed, an
-  // entry must be held by such a majority too: two neighbouring sets need not
-  // have it in common (of two and three, four and five, four and three).
-  // A dead one takes part in no such election, so it stands in nobody's way.
-  return std::min(held, held_by_majority(previous_voters_, dead_));
+  // When voters are dead, an election among the old voters needs only enough
+  // votes to intersect each of their majorities. Until the change is committed,
+  // an entry must therefore also be held by a majority of the old voters:
+  // majorities of two neighbouring sets need not intersect in this way (two and
+  // three, four and five, four and three voters). A dead voter takes part in no
+  // election, so it counts as holding every entry.
+  return std::min(held, majority_match_index(previous_voters_, dead_));
 }
 
 std::uint64_t
-consensus::held_by_majority(const std::vector<replica_id> &voters,
-                            const std::set<replica_id> &exempt) const {
+consensus::majority_match_index(const std::vector<replica_id> &voters,
+                                const std::set<replica_id> &exempt) const {
   constexpr std::uint64_t everything = ~std::uint64_t{0};
   std::vector<std::uint64_t> matches;
   for (const replica_id &voter : voters) {
@@ -566,9 +574,9 @@
   return applied;
 }
 
-void consensus::forget_removed(timestamp now) {
+void consensus::drop_removed_peers(timestamp now) {
   if (voters_index_ > commit_) {
-    return; // who is a voter is not settled yet
+    return; // the set of voters is not committed yet
   }
   for (auto &[peer, state] : peers_) {
     const bool belongs = is_voter(peer) || learners_.contains(peer);
@@ -596,8 +604,8 @@
   found->second.snapshot_index = last_index;
 }
 
-std::uint64_t consensus::applied_before_last(std::size_t entries,
-                                             std::size_t bytes) const {
+std::uint64_t consensus::index_before_newest_applied(std::size_t entries,
+                                                     std::size_t bytes) const {
   std::uint64_t index = applied_;
   std::size_t passed = 0;
   while (index > base_index_ && applied_ - index < entries) {
@@ -610,18 +618,18 @@
   return index;
 }
 
-std::uint64_t consensus::dropped_up_to() const {
-  const std::uint64_t retained =
-      applied_before_last(options_.retained_entries, options_.retained_bytes);
+std::uint64_t consensus::compaction_index() const {
+  const std::uint64_t retained = index_before_newest_applied(
+      options_.retained_entries, options_.retained_bytes);
   if (role_ != role::leader || options_.lagging_peer_entries == 0) {
     return retained;
   }
-  const std::uint64_t held = applied_before_last(options_.lagging_peer_entries,
-                                                 options_.lagging_peer_bytes);
+  const std::uint64_t held = index_before_newest_applied(
+      options_.lagging_peer_entries, options_.lagging_peer_bytes);
   std::uint64_t needed = retained;
   for (const auto &[peer, state] : peers_) {
     const std::uint64_t reached = std::max(state.match, state.snapshot_index);
-    // One that lacks what was dropped before needs a snapshot in any case.
+    // A peer that lacks compacted entries needs a snapshot in any case.
     needed = reached >= base_index_ ? std::min(needed, reached) : needed;
   }
   return std::max(needed, held);
@@ -629,17 +637,16 @@
 
 void consensus::compact() {
   const std::uint64_t kept = applied_ - base_index_;
-  const bool many = kept > 2 * options_.retained_entries;
-  // Entries are as large as what callers send: only bytes bound the memory. At
-  // twice the bytes a node came within 1.3 % of what it may take, so that one
-  // message that waited, with its turns, passed the bound.
+  const bool too_many = kept > 2 * options_.retained_entries;
+  // The size of entries depends on the callers, so that only a limit in bytes
+  // bounds the memory.
   const std::size_t most_bytes =
       options_.retained_bytes + options_.retained_bytes / slack_divisor;
-  const bool large = options_.retained_bytes > 0 && log_bytes_ > most_bytes;
-  if (!many && !large) {
+  const bool too_large = options_.retained_bytes > 0 && log_bytes_ > most_bytes;
+  if (!too_many && !too_large) {
     return;
   }
-  const std::uint64_t new_base = dropped_up_to();
+  const std::uint64_t new_base = compaction_index();
   if (new_base <= base_index_) {
     return;
   }
--- a/tests/raft/consensus_test.cpp
+++ b/tests/raft/consensus_test.cpp
@@ -16,7 +16,7 @@
   return {node_id{number}, boot_id{number}};
 }
 
-/// Replicas that exchange messages at once, except over links that are cut.
+/// Replicas that exchange messages immediately, except with isolated ones.
 class group {
 public:
   explicit group(std::size_t count) {
@@ -48,7 +48,7 @@
         each->tick(now_, random_ += 13, out);
         deliver(who, out);
       }
-      note_leaders();
+      record_leaders();
     }
   }
 
@@ -85,7 +85,7 @@
         continue;
       }
       outbox replies;
-      hand_over(*replicas_.at(message.to), message.envelope, replies);
+      dispatch(*replicas_.at(message.to), message.envelope, replies);
       deliver(message.to, replies);
     }
     for (const outgoing_heartbeat &heartbeat : out.heartbeats) {
@@ -112,7 +112,7 @@
   [[nodiscard]] timestamp now() const { return now_; }
 
   std::set<std::uint64_t> isolated;
-  /// Terms that had two leaders.
+  /// Number of times that a second leader was seen in one term.
   std::size_t split_terms = 0;
 
 private:
@@ -121,8 +121,8 @@
            !isolated.contains(to.node.value());
   }
 
-  void hand_over(consensus &target, const wire::Envelope &envelope,
-                 outbox &out) {
+  void dispatch(consensus &target, const wire::Envelope &envelope,
+                outbox &out) {
     if (envelope.has_vote_request()) {
       target.handle(envelope.vote_request(), now_, random_, out);
     } else if (envelope.has_vote_reply()) {
@@ -136,7 +136,7 @@
     }
   }
 
-  void note_leaders() {
+  void record_leaders() {
     for (auto &[who, each] : replicas_) {
       if (each->is_leader()) {
         const auto [known, fresh] =
@@ -158,26 +158,26 @@
   CPPUNIT_TEST(elects_one_leader);
   CPPUNIT_TEST(committed_entries_survive_the_leader);
   CPPUNIT_TEST(an_isolated_leader_commits_nothing_and_steps_down);
-  CPPUNIT_TEST(a_replica_that_lost_touch_does_not_raise_the_term);
+  CPPUNIT_TEST(an_isolated_replica_does_not_raise_the_term);
   CPPUNIT_TEST(an_old_term_is_refused);
   CPPUNIT_TEST(a_learner_becomes_a_voter);
   CPPUNIT_TEST(replicas_change_one_at_a_time);
   CPPUNIT_TEST(a_far_behind_follower_gets_a_snapshot);
-  CPPUNIT_TEST(leadership_is_handed_over);
-  CPPUNIT_TEST(a_follower_that_forgot_is_not_flooded);
-  CPPUNIT_TEST(a_leader_that_stood_still_is_out_of_contact);
+  CPPUNIT_TEST(leadership_is_transferred);
+  CPPUNIT_TEST(a_follower_that_lost_entries_is_not_flooded);
+  CPPUNIT_TEST(a_suspended_leader_has_no_recent_quorum);
   CPPUNIT_TEST(entries_under_way_are_not_sent_with_every_heartbeat);
-  CPPUNIT_TEST(of_two_voters_one_is_dead_and_the_other_goes_on);
+  CPPUNIT_TEST(the_survivor_of_two_voters_replaces_the_dead_one);
   CPPUNIT_TEST(growth_from_two_waits_for_both);
   CPPUNIT_TEST(growth_from_four_waits_for_a_majority_of_the_four);
   CPPUNIT_TEST(removal_from_four_waits_for_a_majority_of_the_four);
   CPPUNIT_TEST(a_dead_voter_is_removed_without_its_acknowledgement);
-  CPPUNIT_TEST(old_acknowledgements_bring_no_second_snapshot);
+  CPPUNIT_TEST(old_acknowledgements_trigger_no_second_snapshot);
   CPPUNIT_TEST(a_follower_that_starts_late_needs_no_snapshot);
   CPPUNIT_TEST(a_backlog_is_sent_a_bounded_message_at_a_time);
   CPPUNIT_TEST(the_log_in_memory_is_bounded_in_bytes);
-  CPPUNIT_TEST(entries_that_a_voter_lacks_are_held_up_to_their_bytes);
-  CPPUNIT_TEST(a_restored_log_may_begin_before_what_is_applied);
+  CPPUNIT_TEST(entries_a_voter_lacks_are_retained_up_to_the_byte_limit);
+  CPPUNIT_TEST(a_restored_log_may_begin_before_the_applied_index);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, three.split_terms);
   }
 
-  void a_replica_that_lost_touch_does_not_raise_the_term() {
+  void an_isolated_replica_does_not_raise_the_term() {
     group three(3);
     three.run(duration_ms{6000});
     const std::uint64_t leader = *three.leader();
@@ -279,7 +279,7 @@
     const auto two_at_once =
         three.at(leader).change_replicas({replica(leader)}, three.now(), out);
     CPPUNIT_ASSERT(two_at_once == propose_error::change_in_progress);
-    // The others cannot answer, so the first change stays uncommitted.
+    // Isolated replicas do not answer, so the first change stays uncommitted.
     three.isolated = {1, 2, 3};
     std::vector<replica_id> fewer = three.at(leader).voters();
     std::erase(fewer, replica(leader == 1 ? 2 : 1));
@@ -306,7 +306,7 @@
                    three.at(leader).commit_index());
   }
 
-  void leadership_is_handed_over() {
+  void leadership_is_transferred() {
     group three(3);
     three.run(duration_ms{6000});
     const std::uint64_t leader = *three.leader();
@@ -319,32 +319,32 @@
     CPPUNIT_ASSERT(three.at(wanted).is_leader());
     CPPUNIT_ASSERT(three.at(wanted).elected_by_transfer());
     CPPUNIT_ASSERT(!three.at(leader).is_leader());
-    // Whoever is elected after a silence was handed nothing.
+    // A leader elected after a timeout did not get leadership by transfer.
     three.isolated.insert(wanted);
     three.run(duration_ms{6000});
     CPPUNIT_ASSERT(!three.at(*three.leader()).elected_by_transfer());
   }
 
-  void a_follower_that_forgot_is_not_flooded() {
+  void a_follower_that_lost_entries_is_not_flooded() {
     group three(3);
     three.run(duration_ms{6000});
     const std::uint64_t leader = *three.leader();
     three.propose(leader, "a");
-    wire::AppendReply forgot;
-    forgot.set_term(three.at(leader).term().value());
-    *forgot.mutable_follower() = to_wire(replica(leader == 1 ? 2 : 1));
-    forgot.set_match_index(0);
+    wire::AppendReply lost_entries;
+    lost_entries.set_term(three.at(leader).term().value());
+    *lost_entries.mutable_follower() = to_wire(replica(leader == 1 ? 2 : 1));
+    lost_entries.set_match_index(0);
     outbox out;
-    three.at(leader).handle(forgot, three.now(), out);
+    three.at(leader).handle(lost_entries, three.now(), out);
     CPPUNIT_ASSERT(out.messages.empty());
   }
 
-  void a_leader_that_stood_still_is_out_of_contact() {
+  void a_suspended_leader_has_no_recent_quorum() {
     group three(3);
     three.run(duration_ms{6000});
     const consensus &leader = three.at(*three.leader());
     CPPUNIT_ASSERT(leader.has_recent_quorum(three.now()));
-    // It wakes eight seconds later and still believes that it leads.
+    // After a suspension of eight seconds it still considers itself the leader.
     CPPUNIT_ASSERT(leader.is_leader());
     CPPUNIT_ASSERT(!leader.has_recent_quorum(three.now() + duration_ms{8000}));
   }
@@ -354,16 +354,16 @@
     CPPUNIT_ASSERT(entry_messages_in_a_second(duration_ms{600}) <= 3);
   }
 
-  void of_two_voters_one_is_dead_and_the_other_goes_on() {
+  void the_survivor_of_two_voters_replaces_the_dead_one() {
     consensus survivor = restored({replica(1), replica(2)});
     outbox out;
     const timestamp later = timestamp_from(60000);
     survivor.tick(later, 1, out);
-    CPPUNIT_ASSERT(!survivor.is_leader()); // the other may live
+    CPPUNIT_ASSERT(!survivor.is_leader()); // the other one may be alive
     survivor.declare_dead(replica(2));
     survivor.tick(later + duration_ms{10000}, 1, out);
     CPPUNIT_ASSERT(survivor.is_leader());
-    CPPUNIT_ASSERT(!survivor.established()); // it commits nothing alone
+    CPPUNIT_ASSERT(!survivor.established()); // it cannot commit alone
     const replica_id back{node_id{2}, boot_id{22}};
     const auto refused = survivor.change_replicas(
         {replica(1), back}, later + duration_ms{10000}, out);
@@ -372,7 +372,8 @@
   }
 
   void growth_from_two_waits_for_both() {
-    // The two are a leader and a voter that lags; the third one is quick.
+    // The two are a leader and a voter that lags; the third one acknowledges
+    // quickly.
     consensus leader = restored({replica(1), replica(2)});
     const timestamp now = elect(leader);
     outbox out;
@@ -389,7 +390,7 @@
   }
 
   void growth_from_four_waits_for_a_majority_of_the_four() {
-    // Were the change committed by 1, 2 and 5, then 3 and 4, which lack it,
+    // If the change were committed by 1, 2 and 5, then 3 and 4, which lack it,
     // could elect a leader among the four once 1 has lost its disk.
     consensus leader = leader_of_four();
     outbox out;
@@ -419,9 +420,9 @@
     CPPUNIT_ASSERT_EQUAL(change, leader.commit_index().value());
   }
 
-  void old_acknowledgements_bring_no_second_snapshot() {
-    // A node that wakes first acknowledges what lies in its inbox, and refuses
-    // what lies behind that: one snapshot is enough for all of it.
+  void old_acknowledgements_trigger_no_second_snapshot() {
+    // A node that resumes first acknowledges the messages queued for it and
+    // refuses those after them; one snapshot covers all of these.
     consensus leader = restored({replica(1), replica(2)}, {}, 100);
     timestamp now = elect(leader);
     outbox out;
@@ -441,8 +442,8 @@
   }
 
   void a_follower_that_starts_late_needs_no_snapshot() {
-    // It was not there when the leader began, answers a heartbeat first, and
-    // holds the whole log but for its end.
+    // The follower starts after the leader was elected, answers a heartbeat
+    // first, and holds the whole log except for its last entry.
     options settings;
     settings.probe_interval = duration_ms{50};
     constexpr std::uint64_t dropped = 100;
@@ -482,7 +483,7 @@
       CPPUNIT_ASSERT(leader.propose(command, now, out));
       acknowledge(leader, replica(2), leader.last_index().value(), now);
     }
-    // The third replica has acknowledged nothing: its backlog waits.
+    // The third replica has acknowledged nothing, so its backlog is not sent.
     std::uint64_t held = first;
     for (const outgoing &each : out.messages) {
       if (each.to == replica(3)) {
@@ -492,7 +493,8 @@
     }
     CPPUNIT_ASSERT(held > first);
     CPPUNIT_ASSERT(held <= first + 12);
-    // Each acknowledgement brings it one message of about the given size.
+    // Each acknowledgement is followed by one message of about
+    // `bytes_per_append`.
     for (int step = 0; step < 5; ++step) {
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, entries_after(leader, held, now));
       held += 4;
@@ -515,7 +517,7 @@
     CPPUNIT_ASSERT(leader.log_bytes() >= 19 * entry_size);
   }
 
-  void entries_that_a_voter_lacks_are_held_up_to_their_bytes() {
+  void entries_a_voter_lacks_are_retained_up_to_the_byte_limit() {
     options settings;
     settings.retained_bytes = 10 * entry_size;
     settings.lagging_peer_entries = 1000;
@@ -538,7 +540,7 @@
     CPPUNIT_ASSERT(leader.log_bytes() <= 52 * entry_size);
   }
 
-  void a_restored_log_may_begin_before_what_is_applied() {
+  void a_restored_log_may_begin_before_the_applied_index() {
     saved_replica saved;
     saved.hard.term = 1;
     saved.base = {.index = 10, .term = 1, .voters = {replica(1)}};
@@ -561,7 +563,7 @@
   }
 
 private:
-  /// @return how many entries are sent to the third replica, in one message,
+  /// @return the number of entries sent to the third replica, in one message,
   /// when it acknowledges `match`.
   static std::uint64_t entries_after(consensus &leader, std::uint64_t match,
                                      timestamp now) {
@@ -609,7 +611,7 @@
     return leader;
   }
 
-  /// Proposes other voters.
+  /// Proposes a change of the voters.
   /// @return the index of the change.
   std::uint64_t change_to(consensus &leader,
                           const std::vector<std::uint64_t> &numbers) {
@@ -625,7 +627,7 @@
 
   timestamp elected_{};
 
-  /// Makes a replica the leader by the votes of two others.
+  /// Elects a replica with the votes of two others.
   static timestamp elect(consensus &candidate) {
     const timestamp now = timestamp_from(60000);
     outbox out;
@@ -645,7 +647,8 @@
     return now;
   }
 
-  /// @return how many snapshots the acknowledgement made the leader want.
+  /// @return the number of snapshots that the leader requests on the
+  /// acknowledgement.
   static std::size_t acknowledge(consensus &leader, const replica_id &from,
                                  std::uint64_t match, timestamp now) {
     wire::AppendReply reply;
@@ -658,8 +661,8 @@
     return out.snapshots_wanted.size();
   }
 
-  /// Messages with entries to a follower that answers heartbeats, while none of
-  /// its acknowledgements of entries arrive.
+  /// @return the number of messages with entries sent within a second to a
+  /// follower that answers heartbeats while its acknowledgements are lost.
   static int entry_messages_in_a_second(duration_ms resend_after) {
     options settings;
     settings.probe_interval = duration_ms{50};
