--- a/src/records/gateway_hash_ring.cpp
+++ b/src/records/gateway_hash_ring.cpp
@@ -13,24 +13,24 @@
 /// A gateway keeps its arc for so long without telling anything: one that few
 /// clients use tells rarely, and each change of an arc leaves a part of it to
 /// nobody for some seconds.
-constexpr duration_ms kept_for{4000};
+constexpr duration_ms member_lifetime{4000};
 /// Looking through all members at each question would cost as many steps as
 /// there are gateways; once in this time is exact enough.
-constexpr duration_ms look_interval{100};
+constexpr duration_ms expiry_check_interval{100};
 
-std::uint32_t point_of(const std::string &gateway) {
+std::uint32_t hash_point_of(const std::string &gateway) {
   return static_cast<std::uint32_t>(stable_hash(gateway));
 }
 
 } // namespace
 
 void gateway_hash_ring::refresh(const std::string &gateway, timestamp now) {
-  members_[point_of(gateway)] = {.gateway = gateway, .told = now};
+  members_[hash_point_of(gateway)] = {.gateway = gateway, .last_report = now};
 }
 
 ring_arc gateway_hash_ring::arc_of(const std::string &gateway, timestamp now) {
-  forget_old(now);
-  const auto own = members_.find(point_of(gateway));
+  remove_expired(now);
+  const auto own = members_.find(hash_point_of(gateway));
   if (own == members_.end() || own->second.gateway != gateway) {
     return {};
   }
@@ -43,13 +43,13 @@
   return {.end = own->first, .length = own->first - before->first};
 }
 
-void gateway_hash_ring::forget_old(timestamp now) {
-  if (now < looked_through_ + look_interval) {
+void gateway_hash_ring::remove_expired(timestamp now) {
+  if (now < last_expiry_check_ + expiry_check_interval) {
     return;
   }
-  looked_through_ = now;
+  last_expiry_check_ = now;
   std::erase_if(members_, [now](const auto &each) {
-    return now >= each.second.told + kept_for;
+    return now >= each.second.last_report + member_lifetime;
   });
 }
 
--- a/src/records/gateway_hash_ring.hpp
+++ b/src/records/gateway_hash_ring.hpp
@@ -21,15 +21,15 @@
   [[nodiscard]] ring_arc arc_of(const std::string &gateway, timestamp now);
 
 private:
-  void forget_old(timestamp now);
+  void remove_expired(timestamp now);
 
   struct member {
     std::string gateway;
-    timestamp told{};
+    timestamp last_report{};
   };
   /// By point. Two gateways of one point, one in millions, take turns.
   std::map<std::uint32_t, member> members_;
-  timestamp looked_through_{};
+  timestamp last_expiry_check_{};
 };
 
 } // namespace heathtrestle::records
--- a/src/records/group_directory.cpp
+++ b/src/records/group_directory.cpp
@@ -14,16 +14,16 @@
 
 namespace {
 
-constexpr duration_ms first_pause{100};
-constexpr duration_ms longest_pause{1000};
+constexpr duration_ms initial_delay{100};
+constexpr duration_ms max_delay{1000};
 /// A node that has its group checks now and then whether it still does.
-constexpr duration_ms settled_pause{500};
+constexpr duration_ms settled_check_interval{500};
 /// With the pauses above: 0.7 s after contact was lost, and then every four
 /// seconds.
-constexpr int rounds_a_listing = 4;
+constexpr int rounds_per_listing = 4;
 /// The node that is to found the group tries in the first rounds alone; with
 /// the pauses above the others follow 0.7 s later.
-constexpr int rounds_for_first_founder = 3;
+constexpr int rounds_reserved_for_first = 3;
 constexpr int hexadecimal = 16;
 
 std::string text_of(const json::object &fields, std::string_view name) {
@@ -93,18 +93,18 @@
 group_directory::group_directory(asio::io_context &io,
                                  objects::object_store &store,
                                  std::vector<objects::listing_source *> peers,
-                                 record_runtime &runtime, bool may_found)
+                                 record_runtime &runtime, bool may_bootstrap)
     : io_(io), store_(store), peers_(std::move(peers)), runtime_(runtime),
-      may_found_(may_found) {}
+      may_bootstrap_(may_bootstrap) {}
 
 asio::awaitable<void> group_directory::run() {
-  bool published = false;
-  duration_ms pause = first_pause;
+  bool registered = false;
+  duration_ms delay = initial_delay;
   asio::steady_timer timer(io_);
   while (true) {
     const bool in_touch = runtime_.in_touch();
-    if (!published) {
-      published = co_await publish();
+    if (!registered) {
+      registered = co_await register_self();
     }
     if (in_touch) {
       search_.rounds = 0;
@@ -112,20 +112,20 @@
       // Those that register later greet this node, so that one listing does
       // unless the search takes long.
       if (!search_.looked_up ||
-          search_.rounds % rounds_a_listing == rounds_a_listing - 1) {
-        co_await look_up();
+          search_.rounds % rounds_per_listing == rounds_per_listing - 1) {
+        co_await look_up_members();
       }
-      co_await try_to_found();
+      co_await try_bootstrap();
       ++search_.rounds;
     }
-    const bool settled = in_touch && published;
-    timer.expires_after(settled ? settled_pause : pause);
+    const bool settled = in_touch && registered;
+    timer.expires_after(settled ? settled_check_interval : delay);
     co_await timer.async_wait(as_result);
-    pause = settled ? first_pause : std::min(2 * pause, longest_pause);
+    delay = settled ? initial_delay : std::min(2 * delay, max_delay);
   }
 }
 
-asio::awaitable<bool> group_directory::publish() {
+asio::awaitable<bool> group_directory::register_self() {
   const wire::RecordMember &self = runtime_.self();
   const auto created = co_await store_.create(std::string(member_kind),
                                               self.name(), to_document(self));
@@ -141,7 +141,7 @@
   co_return replaced.has_value();
 }
 
-asio::awaitable<void> group_directory::look_up() {
+asio::awaitable<void> group_directory::look_up_members() {
   const auto listed = co_await store_.list(std::string(member_kind));
   if (listed) {
     search_.looked_up = true;
@@ -161,16 +161,16 @@
   }
 }
 
-bool group_directory::is_its_turn_to_found() const {
+bool group_directory::is_bootstrap_turn() const {
   const bool is_first =
       !listed_.empty() && *listed_.begin() == runtime_.self().name();
-  return is_first || search_.rounds >= rounds_for_first_founder;
+  return is_first || search_.rounds >= rounds_reserved_for_first;
 }
 
-asio::awaitable<void> group_directory::try_to_found() {
+asio::awaitable<void> group_directory::try_bootstrap() {
   const bool needless =
-      !may_found_ || runtime_.has_group() || search_.founded_elsewhere;
-  if (needless || !is_its_turn_to_found()) {
+      !may_bootstrap_ || runtime_.has_group() || search_.bootstrapped_elsewhere;
+  if (needless || !is_bootstrap_turn()) {
     co_return;
   }
   const std::string self = identity_of(runtime_.self());
@@ -189,7 +189,7 @@
   }
   const json::object *fields = group.value().specification.if_object();
   const bool own = fields != nullptr && text_of(*fields, "founder") == self;
-  search_.founded_elsewhere = !own;
+  search_.bootstrapped_elsewhere = !own;
   if (own && !runtime_.has_group()) {
     runtime_.found();
   }
--- a/src/records/group_directory.hpp
+++ b/src/records/group_directory.hpp
@@ -36,7 +36,7 @@
   /// @param peers where members are looked up while the store is down.
   group_directory(asio::io_context &io, objects::object_store &store,
                   std::vector<objects::listing_source *> peers,
-                  record_runtime &runtime, bool may_found);
+                  record_runtime &runtime, bool may_bootstrap);
 
   /// Registers this node, then looks for its group until it has one, and again
   /// whenever it has lost touch. Runs until the process ends.
@@ -48,20 +48,20 @@
     int rounds = 0;
     bool looked_up = false;
     /// Another node is the founder.
-    bool founded_elsewhere = false;
+    bool bootstrapped_elsewhere = false;
   };
 
-  asio::awaitable<bool> publish();
-  asio::awaitable<void> look_up();
-  asio::awaitable<void> try_to_found();
+  asio::awaitable<bool> register_self();
+  asio::awaitable<void> look_up_members();
+  asio::awaitable<void> try_bootstrap();
   /// One node had better try first; the others make up for one that fails.
-  [[nodiscard]] bool is_its_turn_to_found() const;
+  [[nodiscard]] bool is_bootstrap_turn() const;
 
   asio::io_context &io_;
   objects::object_store &store_;
   std::vector<objects::listing_source *> peers_;
   record_runtime &runtime_;
-  bool may_found_;
+  bool may_bootstrap_;
   search search_;
   /// Names of the storage nodes that were listed last.
   std::set<std::string> listed_;
--- a/src/records/group_failure_detector.cpp
+++ b/src/records/group_failure_detector.cpp
@@ -9,15 +9,15 @@
 /// Silence of all nodes that counts as lost contact: two questions asked of
 /// different nodes (`ledger_options::min_retry_timeout`) and the way of a
 /// third.
-constexpr duration_ms silence_limit{600};
+constexpr duration_ms silence_timeout{600};
 /// What was heard this long ago says that the group is there. Longer than a
 /// gateway with little traffic goes without a question.
-constexpr duration_ms heard_counts_for{1000};
+constexpr duration_ms recent_reply_window{1000};
 
 } // namespace
 
 void group_failure_detector::on_reply(timestamp now) {
-  heard_ = now;
+  last_reply_ = now;
   state_ = group_reachability::reachable;
 }
 
@@ -26,24 +26,24 @@
       unanswered_since == timestamp{}) {
     return;
   }
-  if (now >= std::max(unanswered_since, heard_) + silence_limit) {
+  if (now >= std::max(unanswered_since, last_reply_) + silence_timeout) {
     state_ = group_reachability::unreachable;
   }
 }
 
-void group_failure_detector::on_peer_reachability(peer_reachability opinion) {
+void group_failure_detector::on_peer_reachability(peer_reachability reported) {
   if (state_ == group_reachability::reachable) {
     return;
   }
-  const bool others_hear_it = opinion == peer_reachability::reachable ||
+  const bool peers_reach_it = reported == peer_reachability::reachable ||
                               // Cut off from the other gateways as well.
-                              opinion == peer_reachability::no_answer;
-  state_ = others_hear_it ? group_reachability::cut_off
+                              reported == peer_reachability::no_answer;
+  state_ = peers_reach_it ? group_reachability::cut_off
                           : group_reachability::unreachable;
 }
 
 bool group_failure_detector::heard_lately(timestamp now) const {
-  return heard_ != timestamp{} && now < heard_ + heard_counts_for;
+  return last_reply_ != timestamp{} && now < last_reply_ + recent_reply_window;
 }
 
 } // namespace heathtrestle::records
--- a/src/records/group_failure_detector.hpp
+++ b/src/records/group_failure_detector.hpp
@@ -37,7 +37,7 @@
   /// @param unanswered_since when the oldest question without any answer since
   /// was asked; the epoch for none.
   void check(timestamp unanswered_since, timestamp now);
-  void on_peer_reachability(peer_reachability opinion);
+  void on_peer_reachability(peer_reachability reported);
 
   [[nodiscard]] group_reachability state() const { return state_; }
   [[nodiscard]] bool cut_off() const {
@@ -48,7 +48,7 @@
 
 private:
   group_reachability state_ = group_reachability::reachable;
-  timestamp heard_{};
+  timestamp last_reply_{};
 };
 
 } // namespace heathtrestle::records
--- a/src/records/ledger_client.cpp
+++ b/src/records/ledger_client.cpp
@@ -102,12 +102,12 @@
                              sender send)
     : io_(io), options_(std::move(options)), send_(std::move(send)),
       next_id_(draw_system_random()),
-      patience_(options_.min_retry_timeout, options_.max_retry_timeout),
-      contact_(options_.unserved_after) {}
+      retry_timeout_(options_.min_retry_timeout, options_.max_retry_timeout),
+      breaker_(options_.unserved_after) {}
 
 asio::awaitable<turn_grant> ledger_client::begin(turn_request request,
                                                  timestamp deadline) {
-  if (!contact_.is_served()) {
+  if (!breaker_.is_served()) {
     co_return refusal();
   }
   turn_end cancelled{.program = request.program,
@@ -117,7 +117,7 @@
                      .keep = request.keep};
   send_copies(request, deadline);
   const pending_ptr entry =
-      co_await ask(to_change(std::move(request)), deadline);
+      co_await submit_and_wait(to_change(std::move(request)), deadline);
   if (!entry->answered) {
     // The grant may come to pass unseen. It must not count for ever.
     settle(std::move(cancelled));
@@ -127,20 +127,21 @@
 
 asio::awaitable<turn_grant> ledger_client::read(std::string last,
                                                 timestamp deadline) {
-  if (!contact_.is_served()) {
+  if (!breaker_.is_served()) {
     co_return refusal();
   }
   wire::RecordChange change;
   change.mutable_read()->set_last(std::move(last));
-  const pending_ptr entry = co_await ask(std::move(change), deadline);
+  const pending_ptr entry =
+      co_await submit_and_wait(std::move(change), deadline);
   co_return outcome_of(*entry);
 }
 
 asio::awaitable<permit_answer>
 ledger_client::take_permit(permit_request request, timestamp deadline) {
   permit_answer unserved;
-  if (!contact_.is_served()) {
-    unserved.retry_after = contact_.retry_after(steady_now());
+  if (!breaker_.is_served()) {
+    unserved.retry_after = breaker_.retry_after(steady_now());
     co_return unserved;
   }
   wire::RecordChange change;
@@ -148,32 +149,33 @@
   message.set_tenant(request.tenant.value());
   message.set_begins_program(request.begins_program);
   *message.mutable_terms() = to_wire(request.terms);
-  const pending_ptr entry = co_await ask(std::move(change), deadline);
+  const pending_ptr entry =
+      co_await submit_and_wait(std::move(change), deadline);
   if (entry->answered && entry->reply.verdict() == wire::RECORD_DONE) {
     co_return to_permit(*entry);
   }
-  if (!contact_.is_served()) {
-    unserved.retry_after = contact_.retry_after(steady_now());
+  if (!breaker_.is_served()) {
+    unserved.retry_after = breaker_.retry_after(steady_now());
   }
   co_return unserved;
 }
 
 permit_answer ledger_client::to_permit(const pending &entry) {
-  const wire::PermitAnswer &told = entry.reply.permit();
+  const wire::PermitAnswer &answer = entry.reply.permit();
   const permit_verdict refusal =
-      told.paced() ? permit_verdict::paced : permit_verdict::used_up;
-  return {.verdict = told.granted() ? permit_verdict::granted : refusal,
+      answer.paced() ? permit_verdict::paced : permit_verdict::used_up;
+  return {.verdict = answer.granted() ? permit_verdict::granted : refusal,
           // It was given after it was first asked for, whichever time it was
           // asked for that is answered here.
           .good_until = entry.first_sent + tenants::permit_lifetime,
-          .retry_after = duration_ms{told.retry_after_ms()},
-          .counted = told.counted(),
-          .most = told.most(),
-          .limit = told.limit()};
+          .retry_after = duration_ms{answer.retry_after_ms()},
+          .counted = answer.counted(),
+          .most = answer.most(),
+          .limit = answer.limit()};
 }
 
 turn_grant ledger_client::outcome_of(const pending &entry) const {
-  return entry.answered || contact_.is_served() ? to_grant(entry) : refusal();
+  return entry.answered || breaker_.is_served() ? to_grant(entry) : refusal();
 }
 
 void ledger_client::send_copies(const turn_request &request,
@@ -189,13 +191,13 @@
   }
   entry->deadline = deadline;
   entry->awaited = true;
-  const std::uint64_t id = add(entry);
+  const std::uint64_t id = add_pending(entry);
   asio::co_spawn(io_, wait_for(std::move(entry), id), asio::detached);
 }
 
 turn_grant ledger_client::refusal() const {
   turn_grant refused;
-  refused.retry_after = contact_.retry_after(steady_now());
+  refused.retry_after = breaker_.retry_after(steady_now());
   return refused;
 }
 
@@ -215,12 +217,12 @@
 }
 
 asio::awaitable<ledger_client::pending_ptr>
-ledger_client::ask(wire::RecordChange change, timestamp deadline) {
+ledger_client::submit_and_wait(wire::RecordChange change, timestamp deadline) {
   auto entry = std::make_shared<pending>(io_);
   entry->change = std::move(change);
   entry->deadline = deadline;
   entry->awaited = true;
-  const std::uint64_t id = add(entry);
+  const std::uint64_t id = add_pending(entry);
   flush_soon();
   co_await wait_for(entry, id);
   co_return entry;
@@ -231,7 +233,7 @@
   entry->change = to_change(std::move(end));
   entry->deadline = deadline;
   entry->awaited = true;
-  const std::uint64_t id = add(entry);
+  const std::uint64_t id = add_pending(entry);
   ++unsettled_;
   flush_soon();
   co_await wait_for(entry, id);
@@ -249,11 +251,11 @@
   entry->change = to_change(std::move(end));
   entry->added = steady_now();
   entry->deadline = entry->added + options_.settle_timeout;
-  add(entry);
+  add_pending(entry);
   ++unsettled_;
 }
 
-std::uint64_t ledger_client::add(pending_ptr entry) {
+std::uint64_t ledger_client::add_pending(pending_ptr entry) {
   const std::uint64_t id = next_id_++;
   pending_.emplace(id, std::move(entry));
   return id;
@@ -289,9 +291,9 @@
       continue;
     }
     entry->sent = now;
-    entry->first_sent = entry->asked_times == 0 ? now : entry->first_sent;
-    ++entry->asked_times;
-    entry->asked = leader_;
+    entry->first_sent = entry->send_count == 0 ? now : entry->first_sent;
+    ++entry->send_count;
+    entry->sent_to = leader_;
     wire::RecordRequestItem &item = *request.add_items();
     item.set_id(id);
     *item.mutable_change() = entry->change;
@@ -306,12 +308,12 @@
   if (options_.seen) {
     *request.mutable_seen() = options_.seen();
   }
-  const bool loads_due = loads_told_ == timestamp{} ||
-                         now >= loads_told_ + options_.loads_interval;
+  const bool loads_due = loads_sent_at_ == timestamp{} ||
+                         now >= loads_sent_at_ + options_.loads_interval;
   if (options_.loads && loads_due) {
     *request.mutable_loads() = options_.loads();
     request.mutable_loads()->set_told_ms(milliseconds_of(now));
-    loads_told_ = now;
+    loads_sent_at_ = now;
   }
   request.set_reply_to(options_.address);
   request.set_members_hash(members_hash_);
@@ -335,29 +337,29 @@
     members_hash_ = hash_of(members_);
   }
   if (reply.not_leader()) {
-    take_refusal(reply);
+    handle_not_leader(reply);
   } else {
     first_unanswered_ = {};
     leader_ = reply.leader_address();
     leader_answered_ = last_answer_;
-    if (contact_.on_served()) {
+    if (breaker_.on_served()) {
       logging::line(logging::event::partition_served)
           .field("partition", options_.partition)
           .write();
     }
-    take_items(reply);
+    complete_requests(reply);
   }
 }
 
-void ledger_client::take_items(const wire::RecordReply &reply) {
+void ledger_client::complete_requests(const wire::RecordReply &reply) {
   for (const wire::RecordReplyItem &item : reply.items()) {
     const auto found = pending_.find(item.id());
     if (found == pending_.end() || found->second->answered) {
       continue;
     }
     const pending_ptr entry = found->second;
-    if (entry->asked_times == 1) {
-      patience_.record_response_time(last_answer_ - entry->sent);
+    if (entry->send_count == 1) {
+      retry_timeout_.record_response_time(last_answer_ - entry->sent);
     }
     entry->answered = true;
     entry->reply = item;
@@ -372,25 +374,26 @@
   }
 }
 
-void ledger_client::take_refusal(const wire::RecordReply &reply) {
-  const bool names_another =
+void ledger_client::handle_not_leader(const wire::RecordReply &reply) {
+  const bool names_other_leader =
       !reply.leader_address().empty() && reply.leader_address() != leader_;
-  leader_is_named_ = names_another;
-  if (names_another) {
+  leader_hint_unprobed_ = names_other_leader;
+  if (names_other_leader) {
     leader_ = reply.leader_address();
   } else {
     try_next_member();
   }
-  bool resend_now = names_another;
+  bool resend_now = names_other_leader;
   for (const std::uint64_t id : reply.refused()) {
     const auto found = pending_.find(id);
     if (found == pending_.end() || found->second->answered) {
       continue;
     }
     // A group that elects a leader is asked again a little later.
-    found->second->sent = names_another ? timestamp{}
-                                        : steady_now() - patience_.timeout() +
-                                              options_.min_retry_timeout / 2;
+    found->second->sent = names_other_leader
+                              ? timestamp{}
+                              : steady_now() - retry_timeout_.timeout() +
+                                    options_.min_retry_timeout / 2;
   }
   if (resend_now) {
     flush_soon();
@@ -407,7 +410,7 @@
 }
 
 bool ledger_client::leader_is_silent_since(const pending &entry) const {
-  return entry.asked == leader_ && leader_answered_ < entry.sent;
+  return entry.sent_to == leader_ && leader_answered_ < entry.sent;
 }
 
 void ledger_client::learn_members(const wire::RecordMembers &members) {
@@ -467,8 +470,8 @@
   }
 }
 
-void ledger_client::check_served(timestamp now) {
-  if (contact_.open_if_overdue(first_unanswered_, now)) {
+void ledger_client::update_breaker(timestamp now) {
+  if (breaker_.open_if_overdue(first_unanswered_, now)) {
     logging::line(logging::event::partition_unserved)
         .field("partition", options_.partition)
         .field("silent_ms", (now - first_unanswered_).count())
@@ -476,10 +479,10 @@
         .write();
     cancel_grants();
   }
-  if (!contact_.start_probe_if_due(now)) {
+  if (!breaker_.start_probe_if_due(now)) {
     return;
   }
-  if (std::exchange(leader_is_named_, false)) {
+  if (std::exchange(leader_hint_unprobed_, false)) {
     probe_leader();
   } else {
     probe();
@@ -488,16 +491,16 @@
 
 void ledger_client::tick() {
   const timestamp now = steady_now();
-  check_served(now);
+  update_breaker(now);
   bool timed_out = false;
   bool leader_silent = false;
   bool unsent = false;
   for (const auto &[id, entry] : pending_) {
     const bool waiting = entry->sent != timestamp{} && !entry->answered;
-    if (waiting && now >= entry->sent + patience_.timeout()) {
+    if (waiting && now >= entry->sent + retry_timeout_.timeout()) {
       const bool silent = leader_is_silent_since(*entry);
       if (!silent) {
-        patience_.on_timeout(entry->sent, now);
+        retry_timeout_.on_timeout(entry->sent, now);
       }
       leader_silent = leader_silent || silent;
       entry->sent = {};
@@ -509,9 +512,9 @@
   }
   std::erase_if(pending_, [this, now](const auto &each) {
     const pending &entry = *each.second;
-    const bool given_up = !entry.awaited && now >= entry.deadline;
-    unsettled_ -= given_up ? 1 : 0;
-    return given_up;
+    const bool expired = !entry.awaited && now >= entry.deadline;
+    unsettled_ -= expired ? 1 : 0;
+    return expired;
   });
   if (timed_out) {
     logging::line(logging::event::record_call_retried)
--- a/src/records/ledger_client.hpp
+++ b/src/records/ledger_client.hpp
@@ -101,8 +101,8 @@
     timestamp deadline{};
     timestamp sent{}; // zero: to be sent
     timestamp first_sent{};
-    std::string asked; // the node that it was sent to
-    std::uint32_t asked_times = 0;
+    std::string sent_to; // the node that it was sent to
+    std::uint32_t send_count = 0;
     bool awaited = false;
     bool answered = false;
     wire::RecordReplyItem reply;
@@ -116,10 +116,10 @@
   /// Asks the node at `leader_` whether it is there.
   void probe_leader();
   /// Notices that no leader answers any more, and asks whether one is back.
-  void check_served(timestamp now);
+  void update_breaker(timestamp now);
   /// Asks for a change and waits for its answer.
-  asio::awaitable<pending_ptr> ask(wire::RecordChange change,
-                                   timestamp deadline);
+  asio::awaitable<pending_ptr> submit_and_wait(wire::RecordChange change,
+                                               timestamp deadline);
   /// Has the copies that a turn brings recorded right before it: they are
   /// numbered before the question that is asked next, and travel with it.
   void send_copies(const turn_request &request, timestamp deadline);
@@ -128,12 +128,12 @@
   /// The answer, or a refusal where the partition has turned unserved
   /// meanwhile.
   [[nodiscard]] turn_grant outcome_of(const pending &entry) const;
-  std::uint64_t add(pending_ptr entry);
+  std::uint64_t add_pending(pending_ptr entry);
   asio::awaitable<void> wait_for(pending_ptr entry, std::uint64_t id);
   void flush_soon();
   void flush();
-  void take_items(const wire::RecordReply &reply);
-  void take_refusal(const wire::RecordReply &reply);
+  void complete_requests(const wire::RecordReply &reply);
+  void handle_not_leader(const wire::RecordReply &reply);
   void try_next_member();
   /// True when the node that was asked still counts as the leader and has not
   /// answered anything since.
@@ -150,14 +150,14 @@
   std::uint64_t members_hash_ = 0;
   std::string leader_;
   std::size_t next_member_ = 0;
-  retry_timeout patience_;
-  partition_circuit_breaker contact_;
+  retry_timeout retry_timeout_;
+  partition_circuit_breaker breaker_;
   /// A node has named `leader_`, and it was not asked since.
-  bool leader_is_named_ = false;
+  bool leader_hint_unprobed_ = false;
   timestamp last_answer_{};
   timestamp leader_answered_{};
   timestamp first_unanswered_{};
-  timestamp loads_told_{};
+  timestamp loads_sent_at_{};
   bool flush_posted_ = false;
   std::size_t unsettled_ = 0;
 };
--- a/src/records/load_reports.cpp
+++ b/src/records/load_reports.cpp
@@ -8,7 +8,7 @@
 
 /// What a gateway told counts this long: several of the intervals in which a
 /// busy one tells it, so that one that has ended is soon forgotten.
-constexpr duration_ms told_for{1500};
+constexpr duration_ms report_lifetime{1500};
 
 /// Calls `use(replica, running)` for each replica where something runs; lists
 /// of unequal length end with the shorter one.
@@ -26,54 +26,55 @@
 
 void load_reports::update(const std::string &gateway,
                           const wire::ReplicaLoads &loads, timestamp now) {
-  withdraw(gateway);
-  forget_old(now);
+  remove_report(gateway);
+  remove_expired(now);
   ring_.refresh(gateway, now);
-  by_gateway_[gateway] = {.loads = loads, .at = now};
-  by_age_.push_back({.gateway = gateway, .at = now});
+  reports_by_gateway_[gateway] = {.loads = loads, .at = now};
+  reports_by_age_.push_back({.gateway = gateway, .at = now});
   for_each_load(loads, [&](std::uint32_t replica, std::uint32_t running) {
-    sums_[replica] += running;
-    running_ += running;
-    reported_at_ms_ += running * milliseconds_of(now);
+    running_by_replica_[replica] += running;
+    total_running_ += running;
+    summed_report_times_ms_ += running * milliseconds_of(now);
   });
 }
 
-void load_reports::withdraw(const std::string &gateway) {
-  const auto known = by_gateway_.find(gateway);
-  if (known == by_gateway_.end()) {
+void load_reports::remove_report(const std::string &gateway) {
+  const auto known = reports_by_gateway_.find(gateway);
+  if (known == reports_by_gateway_.end()) {
     return;
   }
   const std::uint64_t at = milliseconds_of(known->second.at);
   for_each_load(known->second.loads,
                 [&](std::uint32_t replica, std::uint32_t running) {
-                  const auto sum = sums_.find(replica);
+                  const auto sum = running_by_replica_.find(replica);
                   sum->second -= running;
                   if (sum->second == 0) {
-                    sums_.erase(sum);
+                    running_by_replica_.erase(sum);
                   }
-                  running_ -= running;
-                  reported_at_ms_ -= running * at;
+                  total_running_ -= running;
+                  summed_report_times_ms_ -= running * at;
                 });
-  by_gateway_.erase(known);
+  reports_by_gateway_.erase(known);
 }
 
-void load_reports::forget_old(timestamp now) {
-  while (!by_age_.empty() && now >= by_age_.front().at + told_for) {
-    const due oldest = std::move(by_age_.front());
-    by_age_.pop_front();
-    const auto known = by_gateway_.find(oldest.gateway);
-    if (known != by_gateway_.end() && known->second.at == oldest.at) {
-      withdraw(oldest.gateway);
+void load_reports::remove_expired(timestamp now) {
+  while (!reports_by_age_.empty() &&
+         now >= reports_by_age_.front().at + report_lifetime) {
+    const queued_report oldest = std::move(reports_by_age_.front());
+    reports_by_age_.pop_front();
+    const auto known = reports_by_gateway_.find(oldest.gateway);
+    if (known != reports_by_gateway_.end() && known->second.at == oldest.at) {
+      remove_report(oldest.gateway);
     }
   }
 }
 
 wire::SharedLoads load_reports::loads_of_others(const std::string &gateway,
                                                 timestamp now) {
-  forget_old(now);
-  const auto own = by_gateway_.find(gateway);
+  remove_expired(now);
+  const auto own = reports_by_gateway_.find(gateway);
   std::map<std::uint32_t, std::uint32_t> own_running;
-  if (own != by_gateway_.end()) {
+  if (own != reports_by_gateway_.end()) {
     for_each_load(own->second.loads,
                   [&](std::uint32_t replica, std::uint32_t running) {
                     own_running[replica] += running;
@@ -83,10 +84,10 @@
   const ring_arc arc = ring_.arc_of(gateway, now);
   shared.set_arc_end(arc.end);
   shared.set_arc_length(arc.length);
-  shared.set_told_ms(own != by_gateway_.end() ? own->second.loads.told_ms()
-                                              : 0);
-  shared.set_gateways(static_cast<std::uint32_t>(by_gateway_.size()));
-  for (const auto &[replica, sum] : sums_) {
+  shared.set_told_ms(
+      own != reports_by_gateway_.end() ? own->second.loads.told_ms() : 0);
+  shared.set_gateways(static_cast<std::uint32_t>(reports_by_gateway_.size()));
+  for (const auto &[replica, sum] : running_by_replica_) {
     const auto counted = own_running.find(replica);
     const std::uint32_t others =
         sum - (counted != own_running.end() ? counted->second : 0);
@@ -95,8 +96,8 @@
       shared.mutable_others()->add_running(others);
     }
   }
-  if (running_ > 0) {
-    const std::uint64_t mean_at = reported_at_ms_ / running_;
+  if (total_running_ > 0) {
+    const std::uint64_t mean_at = summed_report_times_ms_ / total_running_;
     shared.set_age_ms(
         static_cast<std::uint32_t>(milliseconds_of(now) - mean_at));
   }
--- a/src/records/load_reports.hpp
+++ b/src/records/load_reports.hpp
@@ -33,25 +33,25 @@
     wire::ReplicaLoads loads;
     timestamp at{};
   };
-  struct due {
+  struct queued_report {
     std::string gateway;
     timestamp at{};
   };
 
   /// Takes a gateway's report out of the sums.
-  void withdraw(const std::string &gateway);
-  void forget_old(timestamp now);
+  void remove_report(const std::string &gateway);
+  void remove_expired(timestamp now);
 
-  std::map<std::string, report> by_gateway_;
+  std::map<std::string, report> reports_by_gateway_;
   gateway_hash_ring ring_;
   /// Running requests by replica, of all reports together.
-  std::map<std::uint32_t, std::uint32_t> sums_;
+  std::map<std::uint32_t, std::uint32_t> running_by_replica_;
   /// Reports in the order of their age; those since replaced are passed over.
-  std::deque<due> by_age_;
+  std::deque<queued_report> reports_by_age_;
   /// Running requests of all reports, and the sum of the times (milliseconds)
   /// at which each of them was reported.
-  std::uint64_t running_ = 0;
-  std::uint64_t reported_at_ms_ = 0;
+  std::uint64_t total_running_ = 0;
+  std::uint64_t summed_report_times_ms_ = 0;
 };
 
 } // namespace heathtrestle::records
--- a/src/records/partition_circuit_breaker.cpp
+++ b/src/records/partition_circuit_breaker.cpp
@@ -8,9 +8,9 @@
 
 /// A caller that comes back sooner is refused again, by another gateway at
 /// best.
-constexpr duration_ms least_retry{500};
+constexpr duration_ms min_retry_after{500};
 /// One that comes back later waits although the partition may long be back.
-constexpr duration_ms longest_retry{2000};
+constexpr duration_ms max_retry_after{2000};
 /// How long callers are refused at the most once the partition is back. Each
 /// gateway asks one storage node, as often as it would ask one question again.
 constexpr duration_ms probe_interval{250};
@@ -19,22 +19,22 @@
 
 bool partition_circuit_breaker::on_served() {
   const bool was_unserved = !is_served();
-  since_ = {};
+  unserved_since_ = {};
   return was_unserved;
 }
 
 bool partition_circuit_breaker::open_if_overdue(timestamp unserved_since,
                                                 timestamp now) {
-  const bool lost = is_served() && unserved_since != timestamp{} &&
-                    now >= unserved_since + patience_;
-  if (lost) {
-    since_ = unserved_since;
+  const bool opens = is_served() && unserved_since != timestamp{} &&
+                     now >= unserved_since + open_after_;
+  if (opens) {
+    unserved_since_ = unserved_since;
   }
-  return lost;
+  return opens;
 }
 
 duration_ms partition_circuit_breaker::retry_after(timestamp now) const {
-  return std::clamp(now - since_, least_retry, longest_retry);
+  return std::clamp(now - unserved_since_, min_retry_after, max_retry_after);
 }
 
 bool partition_circuit_breaker::start_probe_if_due(timestamp now) {
--- a/src/records/partition_circuit_breaker.hpp
+++ b/src/records/partition_circuit_breaker.hpp
@@ -15,8 +15,8 @@
 public:
   /// @param patience how long questions may go without an answer of a leader
   /// until the partition counts as unserved.
-  explicit partition_circuit_breaker(duration_ms patience)
-      : patience_(patience) {}
+  explicit partition_circuit_breaker(duration_ms open_after)
+      : open_after_(open_after) {}
 
   /// A leader has answered.
   /// @return true when the partition was unserved until now.
@@ -26,7 +26,9 @@
   /// @return true when the partition counts as unserved from now on.
   bool open_if_overdue(timestamp unserved_since, timestamp now);
 
-  [[nodiscard]] bool is_served() const { return since_ == timestamp{}; }
+  [[nodiscard]] bool is_served() const {
+    return unserved_since_ == timestamp{};
+  }
   /// When a caller that is refused had better come back: an outage is likely to
   /// last as long again as it has lasted, within bounds.
   [[nodiscard]] duration_ms retry_after(timestamp now) const;
@@ -35,9 +37,9 @@
   bool start_probe_if_due(timestamp now);
 
 private:
-  duration_ms patience_;
+  duration_ms open_after_;
   /// Since when it has been unserved; the epoch while it is served.
-  timestamp since_{};
+  timestamp unserved_since_{};
   timestamp next_probe_{};
 };
 
--- a/src/records/partitioned_ledger.cpp
+++ b/src/records/partitioned_ledger.cpp
@@ -41,7 +41,7 @@
 
 asio::awaitable<turn_grant> partitioned_ledger::begin(turn_request request,
                                                       timestamp deadline) {
-  if (contact_.cut_off()) {
+  if (detector_.cut_off()) {
     co_return turn_grant{};
   }
   const std::size_t home = partition_of(request.program, clients_.size());
@@ -52,7 +52,8 @@
   if (!elsewhere) {
     co_return grant;
   }
-  turn_grant found = co_await find_elsewhere(request.previous, home, deadline);
+  turn_grant found =
+      co_await find_in_other_partitions(request.previous, home, deadline);
   if (found.verdict != turn_verdict::granted) {
     co_return found;
   }
@@ -95,8 +96,8 @@
 };
 
 asio::awaitable<turn_grant>
-partitioned_ledger::find_elsewhere(std::string last, std::size_t home,
-                                   timestamp deadline) {
+partitioned_ledger::find_in_other_partitions(std::string last, std::size_t home,
+                                             timestamp deadline) {
   // All are asked at once: one after the other, with the grant before and the
   // copy behind, six answers have to come in the time of one turn, which a
   // group that answers in 0.2 s and more cannot give.
@@ -138,7 +139,7 @@
 
 asio::awaitable<permit_answer>
 partitioned_ledger::take_permit(permit_request request, timestamp deadline) {
-  if (contact_.cut_off()) {
+  if (detector_.cut_off()) {
     co_return permit_answer{};
   }
   ledger_client &client = client_of(request.tenant.value());
@@ -159,32 +160,33 @@
         since != timestamp{} && (oldest == timestamp{} || since < oldest);
     oldest = older ? since : oldest;
   }
-  const group_reachability before = contact_.state();
-  contact_.check(oldest, now);
-  if (before != contact_.state()) {
+  const group_reachability before = detector_.state();
+  detector_.check(oldest, now);
+  if (before != detector_.state()) {
     logging::line(logging::event::dependency_lost)
         .field("dependency", "record group")
         .field("reason", "no node answers")
         .write();
   }
-  if (contact_.state() != group_reachability::reachable && now >= next_probe_) {
+  if (detector_.state() != group_reachability::reachable &&
+      now >= next_probe_) {
     next_probe_ = now + probe_interval;
     clients_.front()->probe();
   }
 }
 
-void partitioned_ledger::on_peer_reachability(peer_reachability opinion) {
-  const bool was_cut_off = contact_.cut_off();
-  contact_.on_peer_reachability(opinion);
-  if (was_cut_off == contact_.cut_off()) {
+void partitioned_ledger::on_peer_reachability(peer_reachability reported) {
+  const bool was_cut_off = detector_.cut_off();
+  detector_.on_peer_reachability(reported);
+  if (was_cut_off == detector_.cut_off()) {
     return;
   }
   logging::line(logging::event::dependency_lost)
       .field("dependency", "record group")
-      .field("reason", contact_.cut_off() ? "this gateway is cut off"
-                                          : "no gateway hears it")
+      .field("reason", detector_.cut_off() ? "this gateway is cut off"
+                                           : "no gateway hears it")
       .write();
-  if (contact_.cut_off()) {
+  if (detector_.cut_off()) {
     for (const auto &client : clients_) {
       client->cancel_grants();
     }
@@ -192,12 +194,12 @@
 }
 
 void partitioned_ledger::on_message(const wire::Envelope &envelope) {
-  if (contact_.state() != group_reachability::reachable) {
+  if (detector_.state() != group_reachability::reachable) {
     logging::line(logging::event::dependency_regained)
         .field("dependency", "record group")
         .write();
   }
-  contact_.on_reply(steady_now());
+  detector_.on_reply(steady_now());
   const std::size_t number = envelope.record_partition();
   if (number < clients_.size()) {
     clients_[number]->on_message(envelope);
--- a/src/records/partitioned_ledger.hpp
+++ b/src/records/partitioned_ledger.hpp
@@ -31,14 +31,14 @@
   asio::awaitable<permit_answer> take_permit(permit_request request,
                                              timestamp deadline) override;
 
-  [[nodiscard]] bool cut_off() const override { return contact_.cut_off(); }
+  [[nodiscard]] bool cut_off() const override { return detector_.cut_off(); }
   [[nodiscard]] std::vector<storage_place> storage_places() const override;
   /// Notices silence of the whole group, and its end. To be called often.
   void check_reachability();
   /// What other gateways say while this one hears nothing.
-  void on_peer_reachability(peer_reachability opinion);
+  void on_peer_reachability(peer_reachability reported);
   [[nodiscard]] const group_failure_detector &failure_detector() const {
-    return contact_;
+    return detector_;
   }
 
   /// Takes in an answer of the group.
@@ -59,8 +59,9 @@
 
   /// Finds the chain that ends with `last` outside partition `home`. Unknown
   /// only when every other partition says so.
-  asio::awaitable<turn_grant> find_elsewhere(std::string last, std::size_t home,
-                                             timestamp deadline);
+  asio::awaitable<turn_grant> find_in_other_partitions(std::string last,
+                                                       std::size_t home,
+                                                       timestamp deadline);
   asio::awaitable<void> search_in(std::size_t number, std::string last,
                                   timestamp deadline,
                                   std::shared_ptr<turn_search> search);
@@ -69,7 +70,7 @@
 
   asio::io_context &io_;
   std::vector<std::unique_ptr<ledger_client>> clients_;
-  group_failure_detector contact_;
+  group_failure_detector detector_;
   timestamp next_probe_{};
 };
 
--- a/src/records/permit_allocator.hpp
+++ b/src/records/permit_allocator.hpp
@@ -55,8 +55,8 @@
   std::vector<wire::ReserveQuota> take_reservations(timestamp now);
 
   /// A reservation was recorded.
-  void on_reserved(const wire::ReservedQuota &made, tenants::quota_time time,
-                   timestamp now);
+  void on_reserved(const wire::ReservedQuota &reserved,
+                   tenants::quota_time time, timestamp now);
 
   std::vector<permit_reply> take_replies();
 
@@ -68,49 +68,53 @@
   void forget_idle(timestamp now);
 
 private:
-  struct counter {
-    explicit counter(duration_ms window)
-        : recent(recent_span), programs(window), pace(1) {}
+  struct tenant_allocation {
+    explicit tenant_allocation(duration_ms window)
+        : recent_requests(recent_requests_span), recent_programs(window),
+          program_pacer(1) {}
 
-    static constexpr duration_ms recent_span{500};
+    static constexpr duration_ms recent_requests_span{500};
 
     wire::QuotaTerms terms;
-    std::uint64_t follows = 0; // the last reservation recorded
-    std::uint32_t left = 0;    // of it, to be given
-    timestamp good_until{};
+    std::uint64_t last_number = 0; // the last reservation recorded
+    std::uint32_t available = 0;   // of it, to be given
+    timestamp expires_at{};
     /// Given since what the last proposal told.
     tenants::permits_by_slice given;
-    bool proposed = false;
+    bool proposal_pending = false;
     /// Of the reservation that is proposed, if any.
-    timestamp proposed_good_until{};
+    timestamp proposed_expiry{};
     /// Nothing is left before that.
-    timestamp free_at{};
-    wire::ReservedQuota last;
+    timestamp exhausted_until{};
+    wire::ReservedQuota last_reservation;
     std::deque<gateway_permit_request> waiting;
-    tenants::sliding_count recent;   // asked for
-    tenants::sliding_count programs; // begun
-    tenants::pacer pace;             // of programs
-    timestamp asked{};
+    tenants::sliding_count recent_requests; // asked for
+    tenants::sliding_count recent_programs; // begun
+    tenants::pacer program_pacer;           // of programs
+    timestamp last_request_at{};
   };
 
-  counter &counter_of(const wire::TakePermit &wanted);
+  tenant_allocation &allocation_of(const wire::TakePermit &wanted);
   /// Answers where that needs no reservation.
   /// @return false when the question has to wait.
-  bool answer_now(counter &of, const gateway_permit_request &request,
+  bool try_answer(tenant_allocation &allocation,
+                  const gateway_permit_request &request,
                   tenants::quota_time time, timestamp now);
   /// True when a program has to wait for its turn to begin.
-  bool is_paced(counter &of, const gateway_permit_request &request,
-                timestamp now);
-  void give(counter &of, gateway_permit_request request,
-            tenants::quota_time time, timestamp now);
-  void refuse(const counter &of, gateway_permit_request request, bool paced,
+  bool refuse_if_paced(tenant_allocation &allocation,
+                       const gateway_permit_request &request, timestamp now);
+  void grant(tenant_allocation &allocation, gateway_permit_request request,
+             tenants::quota_time time, timestamp now);
+  void refuse(const tenant_allocation &allocation,
+              gateway_permit_request request, bool paced,
               duration_ms retry_after);
   /// Permits wanted beyond those that are waited for.
-  [[nodiscard]] std::uint32_t ahead(counter &of, timestamp now) const;
+  [[nodiscard]] std::uint32_t headroom(tenant_allocation &allocation,
+                                       timestamp now) const;
   [[nodiscard]] double requests_per_program() const;
-  void note_given(bool begins);
+  void record_grant(bool begins);
 
-  std::unordered_map<std::string, counter> counters_;
+  std::unordered_map<std::string, tenant_allocation> allocations_;
   std::vector<permit_reply> replies_;
   /// Permits given, and those to programs that began, old ones counting ever
   /// less. Begins with so many programs of a usual length that a rush of new
--- a/src/records/retirement_watch.cpp
+++ b/src/records/retirement_watch.cpp
@@ -40,7 +40,7 @@
   asio::co_spawn(io_, report(), asio::detached);
 }
 
-void retirement_watch::take_in(const objects::object &request) {
+void retirement_watch::apply_request(const objects::object &request) {
   reports_.on_request(request.name, request.revision,
                       binding_.retirement_completed(request.status));
 }
@@ -49,7 +49,7 @@
   std::set<std::string> names;
   for (const objects::object &each : listed.items) {
     names.insert(each.name);
-    take_in(each);
+    apply_request(each);
   }
   reports_.keep_only(names);
   runtime_.set_retiring(reports_.requested());
@@ -59,7 +59,7 @@
   if (changed.deleted) {
     reports_.on_withdrawn(changed.changed.name);
   } else {
-    take_in(changed.changed);
+    apply_request(changed.changed);
   }
   runtime_.set_retiring(reports_.requested());
 }
@@ -88,7 +88,7 @@
     if (!present) {
       co_return; // tried again after a pause
     }
-    take_in(present.value());
+    apply_request(present.value());
   }
   if (!reports_.is_wanted(due)) {
     co_return;
--- a/src/records/retirement_watch.hpp
+++ b/src/records/retirement_watch.hpp
@@ -22,7 +22,7 @@
   void start();
 
 private:
-  void take_in(const objects::object &request);
+  void apply_request(const objects::object &request);
   void on_listing(const objects::listing &listed);
   void on_change(const objects::change &changed);
   asio::awaitable<void> report();
--- a/src/records/retry_timeout.hpp
+++ b/src/records/retry_timeout.hpp
@@ -16,12 +16,12 @@
 public:
   /// @param least waited in any case.
   /// @param most waited at the most, however slow answers are.
-  retry_timeout(duration_ms least, duration_ms most)
-      : least_(least), most_(most) {}
+  retry_timeout(duration_ms minimum, duration_ms maximum)
+      : minimum_(minimum), maximum_(maximum) {}
 
   /// An answer took this long. Only of questions that were asked once: of
   /// others it is not known which time the answer belongs to.
-  void record_response_time(duration_ms taken);
+  void record_response_time(duration_ms response_time);
   /// The time-out ran out for a question, which is asked again, though whom it
   /// was sent to answers others.
   /// @param sent when it was asked last. Questions from before the time-out
@@ -30,13 +30,13 @@
   [[nodiscard]] duration_ms timeout() const;
 
 private:
-  duration_ms least_;
-  duration_ms most_;
+  duration_ms minimum_;
+  duration_ms maximum_;
   /// Smoothed; zero before the first answer.
-  duration_ms latency_{0};
+  duration_ms smoothed_response_time_{0};
   /// What the time-out is multiplied by.
   int backoff_ = 1;
-  timestamp grown_{};
+  timestamp last_backoff_{};
 };
 
 } // namespace heathtrestle::records
--- a/tests/records/ledger_client_test.cpp
+++ b/tests/records/ledger_client_test.cpp
@@ -33,7 +33,7 @@
   std::vector<std::string> asked;
   std::vector<wire::RecordChange> taken;
   std::vector<std::uint64_t> asked_ids;
-  int told_loads = 0;
+  int load_reports_received = 0;
   std::string place_of_previous;
   ledger_client *client = nullptr;
   asio::io_context *io = nullptr;
@@ -57,7 +57,7 @@
     } else {
       reply.set_leader_address(leader);
       if (envelope.record_request().has_loads()) {
-        ++told_loads;
+        ++load_reports_received;
         reply.mutable_loads()->set_gateways(3);
       }
       for (const auto &item : envelope.record_request().items()) {
@@ -85,18 +85,18 @@
 class ledger_client_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ledger_client_test);
   CPPUNIT_TEST(a_turn_is_granted_by_the_leader);
-  CPPUNIT_TEST(loads_are_told_now_and_then_and_the_others_heard);
-  CPPUNIT_TEST(the_place_of_a_turn_is_told_and_heard);
-  CPPUNIT_TEST(a_refusal_leads_to_the_leader);
-  CPPUNIT_TEST(a_silent_node_is_passed_over);
-  CPPUNIT_TEST(an_unanswered_turn_is_unavailable_and_given_back);
-  CPPUNIT_TEST(an_end_is_tried_until_it_is_confirmed);
-  CPPUNIT_TEST(late_questions_do_not_lead_away_from_a_leader);
-  CPPUNIT_TEST(questions_at_one_moment_travel_together);
-  CPPUNIT_TEST(a_leader_that_answers_late_is_not_asked_everything_again);
-  CPPUNIT_TEST(an_answer_to_an_earlier_process_is_not_taken);
-  CPPUNIT_TEST(a_partition_without_a_leader_refuses_at_once_until_it_is_back);
-  CPPUNIT_TEST(a_partition_that_says_that_nobody_leads_refuses_at_once);
+  CPPUNIT_TEST(loads_are_reported_at_the_interval);
+  CPPUNIT_TEST(the_place_of_a_turn_is_sent_and_received);
+  CPPUNIT_TEST(a_refusal_redirects_to_the_leader);
+  CPPUNIT_TEST(a_silent_node_is_skipped);
+  CPPUNIT_TEST(an_unanswered_turn_is_unavailable_and_released);
+  CPPUNIT_TEST(an_end_is_retried_until_it_is_confirmed);
+  CPPUNIT_TEST(timeouts_at_dead_nodes_do_not_abandon_the_leader);
+  CPPUNIT_TEST(concurrent_requests_share_a_message);
+  CPPUNIT_TEST(a_slow_leader_does_not_get_every_request_twice);
+  CPPUNIT_TEST(a_reply_to_an_earlier_process_is_ignored);
+  CPPUNIT_TEST(a_silent_partition_refuses_at_once_until_it_is_back);
+  CPPUNIT_TEST(a_partition_without_a_leader_refuses_at_once);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
@@ -150,7 +150,7 @@
                    turn_verdict::budget_spent);
   }
 
-  void loads_are_told_now_and_then_and_the_others_heard() {
+  void loads_are_reported_at_the_interval() {
     constexpr duration_ms an_hour{3600000};
     for (const duration_ms interval : {an_hour, duration_ms{0}}) {
       ledger_options options{.address = "gateway:1"};
@@ -172,19 +172,19 @@
             group_.receive(address, envelope);
           });
       group_.client = &telling;
-      group_.told_loads = 0;
+      group_.load_reports_received = 0;
       telling.learn_members(members_at({"third:1", "leader:1"}));
       for (const char *attempt : {"a", "b", "c"}) {
         await_result(io_, telling.begin(turn(attempt),
                                         steady_now() + duration_ms{5000}));
       }
       const int expected = interval == an_hour ? 1 : 3;
-      CPPUNIT_ASSERT_EQUAL(expected, group_.told_loads);
+      CPPUNIT_ASSERT_EQUAL(expected, group_.load_reports_received);
       CPPUNIT_ASSERT_EQUAL(expected, heard);
     }
   }
 
-  void the_place_of_a_turn_is_told_and_heard() {
+  void the_place_of_a_turn_is_sent_and_received() {
     group_.place_of_previous = "engine-1";
     const auto grant = begin("a", duration_ms{5000});
     CPPUNIT_ASSERT((grant.previous_place ==
@@ -199,7 +199,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{99}, told.tokens());
   }
 
-  void a_refusal_leads_to_the_leader() {
+  void a_refusal_redirects_to_the_leader() {
     group_.leader = "third:1";
     CPPUNIT_ASSERT(begin("a", duration_ms{5000}).verdict ==
                    turn_verdict::granted);
@@ -207,13 +207,13 @@
     CPPUNIT_ASSERT(group_.asked.size() <= 2);
   }
 
-  void a_silent_node_is_passed_over() {
+  void a_silent_node_is_skipped() {
     group_.others_are_silent = true;
     CPPUNIT_ASSERT(begin("a", duration_ms{5000}).verdict ==
                    turn_verdict::granted);
   }
 
-  void an_unanswered_turn_is_unavailable_and_given_back() {
+  void an_unanswered_turn_is_unavailable_and_released() {
     group_.leader = "nobody:1";
     group_.others_are_silent = true;
     CPPUNIT_ASSERT(begin("a", duration_ms{60}).verdict ==
@@ -227,7 +227,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, group_.taken.back().end().used());
   }
 
-  void an_end_is_tried_until_it_is_confirmed() {
+  void an_end_is_retried_until_it_is_confirmed() {
     group_.leader = "nobody:1";
     group_.others_are_silent = true;
     const bool confirmed =
@@ -245,19 +245,19 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, group_.taken.back().end().used());
   }
 
-  void late_questions_do_not_lead_away_from_a_leader() {
+  void timeouts_at_dead_nodes_do_not_abandon_the_leader() {
     // Once some questions had gone to nodes that are gone, each of them led all
     // others there in turn when its time was over, without an end.
     group_.others_are_silent = true;
     group_.leader = "other:1"; // not the one that is asked first
     asio::steady_timer timer(io_);
-    constexpr int questions = 150;
+    constexpr int requests = 150;
     int answered = 0;
     std::size_t settled_at = 0;
-    for (int question = 0; question < questions; ++question) {
+    for (int number = 0; number < requests; ++number) {
       asio::co_spawn(
           io_,
-          client_->begin(turn("q" + std::to_string(question)),
+          client_->begin(turn("q" + std::to_string(number)),
                          steady_now() + duration_ms{20000}),
           [&answered](std::exception_ptr, turn_grant) { ++answered; });
       await_result(io_, [&timer]() -> asio::awaitable<bool> {
@@ -265,11 +265,11 @@
         co_await timer.async_wait(as_result);
         co_return true;
       }());
-      if (question == questions / 2) {
+      if (number == requests / 2) {
         settled_at = group_.asked.size();
       }
     }
-    while (answered < questions) {
+    while (answered < requests) {
       io_.run_one();
     }
     const auto strayed = std::count_if(
@@ -289,8 +289,8 @@
   // seconds before a fault, 579 to 782 in the eight behind it, a fifth of these
   // with `silent`, while grants took 213 to 460 ms at the median and the
   // time-out was 250 ms.
-  void a_leader_that_answers_late_is_not_asked_everything_again() {
-    constexpr std::size_t questions = 10;
+  void a_slow_leader_does_not_get_every_request_twice() {
+    constexpr std::size_t requests = 10;
     ledger_client client(
         io_,
         ledger_options{.address = "gateway:1",
@@ -305,17 +305,17 @@
     client.learn_members(members_at({"leader:1"}));
     asio::co_spawn(io_, test_support::tick_forever(io_, client),
                    asio::detached);
-    for (std::size_t each = 0; each < questions; ++each) {
+    for (std::size_t each = 0; each < requests; ++each) {
       const timestamp patient = steady_now() + duration_ms{60000};
       CPPUNIT_ASSERT(
           await_result(io_, client.begin(turn(std::to_string(each)), patient))
               .verdict == turn_verdict::granted);
     }
     // Whoever is slow is asked again once for each question at the most.
-    CPPUNIT_ASSERT_LESSEQUAL(2 * questions, group_.asked_ids.size());
+    CPPUNIT_ASSERT_LESSEQUAL(2 * requests, group_.asked_ids.size());
   }
 
-  void questions_at_one_moment_travel_together() {
+  void concurrent_requests_share_a_message() {
     begin("warm", duration_ms{5000});
     const std::size_t before = group_.asked.size();
     int answered = 0;
@@ -369,16 +369,16 @@
     CPPUNIT_ASSERT(back.verdict == turn_verdict::granted);
   }
 
-  void a_partition_without_a_leader_refuses_at_once_until_it_is_back() {
+  void a_silent_partition_refuses_at_once_until_it_is_back() {
     group_.others_are_silent = true;
     check_refused_until_back();
   }
 
-  void a_partition_that_says_that_nobody_leads_refuses_at_once() {
+  void a_partition_without_a_leader_refuses_at_once() {
     check_refused_until_back();
   }
 
-  void an_answer_to_an_earlier_process_is_not_taken() {
+  void a_reply_to_an_earlier_process_is_ignored() {
     // A gateway was killed and is back at its address; what the group answers
     // to the one before must not pass for an answer to this one.
     group_.leader = "nobody";
--- a/tests/records/partitioned_ledger_test.cpp
+++ b/tests/records/partitioned_ledger_test.cpp
@@ -23,10 +23,10 @@
   CPPUNIT_TEST(each_program_has_one_partition);
   CPPUNIT_TEST(a_chain_of_another_partition_is_copied_over);
   CPPUNIT_TEST(a_turn_that_no_partition_knows_is_unknown);
-  CPPUNIT_TEST(a_silent_partition_may_know_the_turn);
+  CPPUNIT_TEST(a_silent_partition_may_hold_the_turn);
   CPPUNIT_TEST(a_gateway_that_is_cut_off_grants_nothing_until_it_is_back);
-  CPPUNIT_TEST(a_group_that_is_down_for_all_is_waited_for);
-  CPPUNIT_TEST(it_tells_where_the_storage_nodes_lie);
+  CPPUNIT_TEST(a_group_that_is_down_for_all_is_not_a_cut_off);
+  CPPUNIT_TEST(it_reports_the_places_of_the_storage_nodes);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT_EQUAL(partitions, group_.asked.size());
   }
 
-  void a_silent_partition_may_know_the_turn() {
+  void a_silent_partition_may_hold_the_turn() {
     group_.silent = {2};
     const turn_grant grant =
         begin(program_in(1), "one", "never was", duration_ms{300});
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT(begin(program, "four", "").verdict == turn_verdict::granted);
   }
 
-  void a_group_that_is_down_for_all_is_waited_for() {
+  void a_group_that_is_down_for_all_is_not_a_cut_off() {
     group_.silent = {0, 1, 2, 3};
     asio::co_spawn(io_, cut_off_once_silent(peer_reachability::unreachable),
                    asio::detached);
@@ -177,7 +177,7 @@
 
   /// Waits until the silence is noticed, and takes in what others say of it.
   /// If they do not hear the group either, it comes back.
-  asio::awaitable<void> cut_off_once_silent(peer_reachability opinion) {
+  asio::awaitable<void> cut_off_once_silent(peer_reachability reported) {
     asio::steady_timer timer(io_);
     while (ledger_->failure_detector().state() ==
            group_reachability::reachable) {
@@ -185,13 +185,13 @@
       co_await timer.async_wait(as_result);
       ledger_->check_reachability();
     }
-    ledger_->on_peer_reachability(opinion);
-    if (opinion != peer_reachability::reachable) {
+    ledger_->on_peer_reachability(reported);
+    if (reported != peer_reachability::reachable) {
       group_.silent.clear();
     }
   }
 
-  void it_tells_where_the_storage_nodes_lie() {
+  void it_reports_the_places_of_the_storage_nodes() {
     wire::RecordMembers members;
     wire::RecordMember &far = *members.add_members();
     far.mutable_replica()->set_node(7);
--- a/tests/records/permit_allocator_test.cpp
+++ b/tests/records/permit_allocator_test.cpp
@@ -13,7 +13,7 @@
 using test_support::quota_fleet;
 
 /// What the operator grants at the very most in one window.
-double bound(const tenants::request_quota &quota) {
+double permit_bound(const tenants::request_quota &quota) {
   constexpr double overshoot = 1.1;
   constexpr double slack = 20;
   const double seconds =
@@ -30,13 +30,13 @@
   CPPUNIT_TEST(a_small_hot_tenant_stays_within_the_bound);
   CPPUNIT_TEST(over_the_limit_whole_programs_are_served);
   CPPUNIT_TEST(a_lower_limit_holds_within_a_window);
-  CPPUNIT_TEST(a_higher_limit_helps_at_once);
-  CPPUNIT_TEST(gateways_that_reach_nobody_send_nothing);
-  CPPUNIT_TEST(gateways_that_restart_refuse_nobody_below_the_limit);
-  CPPUNIT_TEST(a_fleet_that_restarts_stays_within_the_bound);
+  CPPUNIT_TEST(a_higher_limit_applies_at_once);
+  CPPUNIT_TEST(cut_off_gateways_send_nothing);
+  CPPUNIT_TEST(restarting_gateways_refuse_nothing_below_the_limit);
+  CPPUNIT_TEST(a_restarted_fleet_stays_within_the_bound);
   CPPUNIT_TEST(a_lower_limit_does_not_refuse_everything_at_first);
-  CPPUNIT_TEST(a_refusal_tells_when_to_come_back);
-  CPPUNIT_TEST(most_permits_wait_for_no_commit);
+  CPPUNIT_TEST(a_refusal_carries_the_retry_time);
+  CPPUNIT_TEST(most_permits_are_granted_without_a_commit);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t gateways = 57;
@@ -54,7 +54,8 @@
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{8000}, 100, length);
     all.run_programs(duration_ms{12000}, 750, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(large));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(large));
   }
 
   void a_small_hot_tenant_stays_within_the_bound() {
@@ -62,7 +63,8 @@
     quota_fleet all(gateways, small, 11);
     all.run_programs(duration_ms{8000}, 5, length);
     all.run_programs(duration_ms{12000}, 37, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(small));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(small));
   }
 
   void over_the_limit_whole_programs_are_served() {
@@ -92,13 +94,13 @@
     all.deliver_configuration();
     all.run_programs(quota_fleet::window + duration_ms{100}, 100, length);
     CPPUNIT_ASSERT(all.most_in_window() > 0);
-    const timestamp binds = all.now();
+    const timestamp in_force = all.now();
     all.run_programs(duration_ms{10000}, 100, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window(binds)) <=
-                   bound(lower));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window(in_force)) <=
+                   permit_bound(lower));
   }
 
-  void a_higher_limit_helps_at_once() {
+  void a_higher_limit_applies_at_once() {
     quota_fleet all(gateways, {.rate_per_second = 30, .burst = 30}, 11);
     all.run_programs(duration_ms{10000}, 100, length);
     CPPUNIT_ASSERT(all.refused > 0);
@@ -110,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(before, all.refused);
   }
 
-  void gateways_that_reach_nobody_send_nothing() {
+  void cut_off_gateways_send_nothing() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{8000}, 300, length);
     all.cut_off(gateways);
@@ -118,10 +120,11 @@
     const std::size_t before = all.sent();
     all.run_programs(duration_ms{8000}, 300, length);
     CPPUNIT_ASSERT_EQUAL(before, all.sent());
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(large));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(large));
   }
 
-  void gateways_that_restart_refuse_nobody_below_the_limit() {
+  void restarting_gateways_refuse_nothing_below_the_limit() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{8000}, 100, length);
     for (std::size_t number = 0; number < gateways; ++number) {
@@ -131,7 +134,7 @@
     CPPUNIT_ASSERT_EQUAL(0, all.refused + all.failed);
   }
 
-  void a_fleet_that_restarts_stays_within_the_bound() {
+  void a_restarted_fleet_stays_within_the_bound() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{10000}, 400, length);
     for (std::size_t number = 0; number < gateways; ++number) {
@@ -139,7 +142,8 @@
     }
     all.change_leader();
     all.run_programs(duration_ms{10000}, 400, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(large));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(large));
   }
 
   void a_lower_limit_does_not_refuse_everything_at_first() {
@@ -156,7 +160,7 @@
     CPPUNIT_ASSERT((all.failed - failed) * 4 < all.begun - before);
   }
 
-  void a_refusal_tells_when_to_come_back() {
+  void a_refusal_carries_the_retry_time() {
     tenants::quota_account account;
     const tenants::quota_terms terms{.version = 1,
                                      .millirequests_per_second = 1000,
@@ -176,8 +180,8 @@
   }
 
   /// A tenant in steady use is given permits out of what was reserved ahead.
-  void most_permits_wait_for_no_commit() {
-    permit_allocator desk;
+  void most_permits_are_granted_without_a_commit() {
+    permit_allocator allocator;
     tenants::quota_account account;
     timestamp now = timestamp_from(1000);
     int at_once = 0;
@@ -192,13 +196,14 @@
       terms.set_version(1);
       terms.set_millirequests_per_second(100000);
       terms.set_window_ms(5000);
-      desk.request_permit(std::move(request), time, now);
-      at_once += desk.take_replies().empty() ? 0 : 1;
-      for (const wire::ReserveQuota &wanted : desk.take_reservations(now)) {
+      allocator.request_permit(std::move(request), time, now);
+      at_once += allocator.take_replies().empty() ? 0 : 1;
+      for (const wire::ReserveQuota &wanted :
+           allocator.take_reservations(now)) {
         const auto made = account.reserve(from_wire(wanted), time);
-        desk.on_reserved(to_wire(made, "a"), time, now);
+        allocator.on_reserved(to_wire(made, "a"), time, now);
       }
-      desk.take_replies();
+      allocator.take_replies();
     }
     CPPUNIT_ASSERT(at_once > asked * 9 / 10);
   }
--- a/tests/records/turn_of_another_partition_test.cpp
+++ b/tests/records/turn_of_another_partition_test.cpp
@@ -37,9 +37,9 @@
 
 class turn_of_another_partition_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(turn_of_another_partition_test);
-  CPPUNIT_TEST(it_is_gone_on_from_within_three_answers);
-  CPPUNIT_TEST(a_silent_partition_does_not_hide_it);
-  CPPUNIT_TEST(a_turn_that_nobody_kept_is_unknown);
+  CPPUNIT_TEST(a_turn_of_any_partition_is_continued_within_three_rounds);
+  CPPUNIT_TEST(a_silent_partition_does_not_block_the_search);
+  CPPUNIT_TEST(a_turn_that_no_partition_holds_is_unknown);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
@@ -86,7 +86,7 @@
   int rounds_until(std::optional<turn_grant> &outcome,
                    asio::awaitable<turn_grant> begun) {
     constexpr int many = 20;
-    group_.holds = true;
+    group_.queues_requests = true;
     asio::co_spawn(
         io_,
         [&outcome, &begun]() -> asio::awaitable<void> {
@@ -119,10 +119,10 @@
     ledger_->learn_members(members);
   }
 
-  void it_is_gone_on_from_within_three_answers() {
+  void a_turn_of_any_partition_is_continued_within_three_rounds() {
     for (std::size_t home = 0; home < partitions; ++home) {
       for (std::size_t keeper = 0; keeper < partitions; ++keeper) {
-        group_.holds = false;
+        group_.queues_requests = false;
         const std::string id =
             "kept " + std::to_string(home * partitions + keeper);
         keep_turn(keeper, id);
@@ -137,7 +137,7 @@
     }
   }
 
-  void a_silent_partition_does_not_hide_it() {
+  void a_silent_partition_does_not_block_the_search() {
     keep_turn(3, "kept");
     group_.silent = {1};
     std::optional<turn_grant> grant;
@@ -145,7 +145,7 @@
     CPPUNIT_ASSERT(grant && grant->verdict == turn_verdict::granted);
   }
 
-  void a_turn_that_nobody_kept_is_unknown() {
+  void a_turn_that_no_partition_holds_is_unknown() {
     std::optional<turn_grant> grant;
     rounds_until(grant, begin(0, "next", "never was"));
     CPPUNIT_ASSERT(grant && grant->verdict == turn_verdict::unknown_turn);
--- a/tests/support/fake_partitions.hpp
+++ b/tests/support/fake_partitions.hpp
@@ -24,13 +24,13 @@
   /// Partitions that say nothing.
   std::set<std::uint32_t> silent;
   /// Questions wait for `answer_all`.
-  bool holds = false;
+  bool queues_requests = false;
   std::map<std::uint32_t, int> asked;
 
   void receive(const wire::Envelope &envelope) {
     ++asked[envelope.record_partition()];
-    if (holds) {
-      held_.push_back(envelope);
+    if (queues_requests) {
+      queued_.push_back(envelope);
     } else {
       answer(envelope);
     }
@@ -38,7 +38,7 @@
 
   /// @return whether there was any question.
   bool answer_all() {
-    const std::vector<wire::Envelope> taken = std::exchange(held_, {});
+    const std::vector<wire::Envelope> taken = std::exchange(queued_, {});
     for (const wire::Envelope &each : taken) {
       answer(each);
     }
@@ -73,7 +73,7 @@
   }
 
   asio::io_context &io_;
-  std::vector<wire::Envelope> held_;
+  std::vector<wire::Envelope> queued_;
   std::map<std::uint32_t, records::record_table> tables_;
   std::map<std::uint32_t, turns_in_memory> bodies_;
 };
--- a/tests/support/quota_fleet.hpp
+++ b/tests/support/quota_fleet.hpp
@@ -34,8 +34,8 @@
 class quota_fleet {
 public:
   quota_fleet(std::size_t gateways, tenants::request_quota quota, unsigned seed,
-              quota_faults troubles = {}, std::size_t nodes = 3)
-      : random_(seed), troubles_(troubles), cut_off_(gateways, false),
+              quota_faults faults = {}, std::size_t nodes = 3)
+      : random_(seed), faults_(faults), cut_off_(gateways, false),
         started_(gateways, 0), version_(gateways, 1), nodes_(nodes) {
     terms_[1] = terms_of(quota, 1);
     for (node &each : nodes_) {
@@ -87,7 +87,7 @@
     leader_ = (leader_ + 1) % nodes_.size();
     ++term_;
     node &next = nodes_[leader_];
-    next.desk.clear();
+    next.allocator.clear();
     next.term = term_;
     // Of what was on its way some was recorded, and its proposer never hears.
     const std::size_t recorded = random_() % (commits_.size() + 1);
@@ -112,7 +112,7 @@
       deliver_configuration(gateway);
     }
   }
-  void set_faults(quota_faults troubles) { troubles_ = troubles; }
+  void set_faults(quota_faults faults) { faults_ = faults; }
 
   /// The most requests sent in any window.
   [[nodiscard]] std::size_t most_in_window() const {
@@ -155,7 +155,7 @@
   static constexpr duration_ms step{5};
 
   struct node {
-    records::permit_allocator desk;
+    records::permit_allocator allocator;
     records::quota_clock clock;
     std::uint64_t term = 0;
   };
@@ -205,10 +205,10 @@
     return duration_ms{static_cast<std::int64_t>(
         random_() % static_cast<std::uint64_t>(longest.count() + 1))};
   }
-  bool is_lost() {
+  bool loses_message() {
     constexpr std::uint64_t parts = 1000;
     return static_cast<double>(random_() % parts) <
-           troubles_.lost * static_cast<double>(parts);
+           faults_.lost * static_cast<double>(parts);
   }
 
   void begin(std::size_t gateway, bool begins, std::size_t program) {
@@ -219,10 +219,10 @@
                      .program = program,
                      .asked = now_};
     // A gateway may ask a leader of before.
-    const bool knows = random_() % 1000 >= troubles_.misdirected * 1000;
+    const bool knows = random_() % 1000 >= faults_.misdirected * 1000;
     const std::size_t asked = knows ? leader_ : random_() % nodes_.size();
-    if (!cut_off_[gateway] && !is_lost()) {
-      events_.push_back({.due = now_ + draw(troubles_.max_message_delay),
+    if (!cut_off_[gateway] && !loses_message()) {
+      events_.push_back({.due = now_ + draw(faults_.max_message_delay),
                          .request = id,
                          .what = event::kind::asked,
                          .node = asked});
@@ -231,9 +231,10 @@
 
   void pass_time() {
     record();
-    while (!later_.empty() && later_.front().first <= now_) {
-      const auto [gateway, number] = later_.front().second;
-      later_.pop_front();
+    while (!scheduled_requests_.empty() &&
+           scheduled_requests_.front().first <= now_) {
+      const auto [gateway, number] = scheduled_requests_.front().second;
+      scheduled_requests_.pop_front();
       begin(gateway, false, number);
     }
     std::vector<event> due;
@@ -245,7 +246,7 @@
       return happens;
     });
     for (event &each : due) {
-      carry_out(each);
+      handle_event(each);
     }
     for (std::size_t number = 0; number < nodes_.size(); ++number) {
       serve(number);
@@ -258,19 +259,19 @@
       return; // never led
     }
     const bool leads = serving.term == term_;
-    for (wire::ReserveQuota &each : serving.desk.take_reservations(now_)) {
+    for (wire::ReserveQuota &each : serving.allocator.take_reservations(now_)) {
       if (!leads) {
         continue; // never recorded
       }
-      commits_.push_back({.due = now_ + draw(troubles_.max_commit_delay),
+      commits_.push_back({.due = now_ + draw(faults_.max_commit_delay),
                           .term = serving.term,
                           .proposer = number,
                           .time = serving.clock.time_at(now_),
                           .wanted = std::move(each)});
     }
-    for (records::permit_reply &each : serving.desk.take_replies()) {
-      if (!is_lost()) {
-        events_.push_back({.due = now_ + draw(troubles_.max_message_delay),
+    for (records::permit_reply &each : serving.allocator.take_replies()) {
+      if (!loses_message()) {
+        events_.push_back({.due = now_ + draw(faults_.max_message_delay),
                            .request = each.request.id,
                            .what = event::kind::answered,
                            .node = number,
@@ -294,8 +295,9 @@
         }
       }
       node &proposer = nodes_[each.proposer];
-      proposer.desk.on_reserved(records::to_wire(made, each.wanted.tenant()),
-                                proposer.clock.time_at(now_), now_);
+      proposer.allocator.on_reserved(
+          records::to_wire(made, each.wanted.tenant()),
+          proposer.clock.time_at(now_), now_);
     }
   }
 
@@ -304,7 +306,7 @@
     return account_.reserve(records::from_wire(entry.wanted), time_);
   }
 
-  void carry_out(event &each) {
+  void handle_event(event &each) {
     const auto found = requests_.find(each.request);
     if (found == requests_.end()) {
       return;
@@ -317,10 +319,10 @@
       wanted.set_begins_program(of.begins);
       *wanted.mutable_terms() = records::to_wire(terms_[version_[of.gateway]]);
       if (asked.term != 0) {
-        asked.desk.request_permit({.reply_to = std::to_string(of.gateway),
-                                   .id = each.request,
-                                   .wanted = std::move(wanted)},
-                                  asked.clock.time_at(now_), now_);
+        asked.allocator.request_permit({.reply_to = std::to_string(of.gateway),
+                                        .id = each.request,
+                                        .wanted = std::move(wanted)},
+                                       asked.clock.time_at(now_), now_);
       }
       return;
     }
@@ -335,14 +337,14 @@
       return;
     }
     if (each.what == event::kind::answered) {
-      events_.push_back({.due = now_ + draw(troubles_.max_send_delay),
+      events_.push_back({.due = now_ + draw(faults_.max_send_delay),
                          .request = each.request,
                          .what = event::kind::sent});
       return;
     }
     if (now_ < of.asked + tenants::permit_lifetime) {
       sent_.push_back(now_);
-      go_on(of);
+      continue_program(of);
     }
     requests_.erase(found);
   }
@@ -356,19 +358,20 @@
     }
   }
 
-  void go_on(const request &of) {
+  void continue_program(const request &of) {
     if (programs_.empty()) {
       return;
     }
     begun += of.begins ? 1 : 0;
     program &running = programs_[of.program];
     if (--running.left > 0 && !running.failed) {
-      later_.push_back({now_ + duration_ms{250}, {of.gateway, of.program}});
+      scheduled_requests_.push_back(
+          {now_ + duration_ms{250}, {of.gateway, of.program}});
     }
   }
 
   std::mt19937_64 random_;
-  quota_faults troubles_;
+  quota_faults faults_;
   timestamp now_ = timestamp_from(1000000);
   std::map<std::uint64_t, tenants::quota_terms> terms_;
   std::vector<bool> cut_off_;
@@ -386,7 +389,8 @@
   std::uint64_t last_request_ = 0;
   std::vector<event> events_;
   std::vector<program> programs_;
-  std::deque<std::pair<timestamp, std::pair<std::size_t, std::size_t>>> later_;
+  std::deque<std::pair<timestamp, std::pair<std::size_t, std::size_t>>>
+      scheduled_requests_;
   double due_ = 0;
   std::vector<timestamp> sent_;
 };
