--- a/src/records/gateway_hash_ring.cpp
+++ b/src/records/gateway_hash_ring.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A gateway keeps its arc for so long without telling anything: one that few
-/// clients use tells rarely, and each change of an arc leaves a part of it to
-/// nobody for some seconds.
+/// A gateway stays a member for this long after its last report. Long enough
+/// for gateways with little traffic, which report rarely: after each change of
+/// an arc, a part of it has no owner for some seconds.
 constexpr duration_ms member_lifetime{4000};
-/// Looking through all members at each question would cost as many steps as
-/// there are gateways; once in this time is exact enough.
+/// Expired members are looked for at most this often, since the scan visits all
+/// gateways.
 constexpr duration_ms expiry_check_interval{100};
 
 std::uint32_t hash_point_of(const std::string &gateway) {
--- a/src/records/gateway_hash_ring.hpp
+++ b/src/records/gateway_hash_ring.hpp
@@ -1,7 +1,7 @@
-// Divides what all gateways share among those that tell their loads, by
-// consistent hashing: each has the arc of a ring from the gateway before it to
-// its own point. A gateway that comes or goes changes the arc of one other
-// only, and what the arcs hold adds up to the whole ring.
+// Divides shared resources among the gateways that report their loads, by
+// consistent hashing. Each gateway owns the arc of the ring from its
+// predecessor's point to its own. A gateway that joins or leaves changes the
+// arc of only one other, and the arcs add up to the whole ring.
 #pragma once
 
 #include "base/ring_arc.hpp"
@@ -15,9 +15,10 @@
 
 class gateway_hash_ring {
 public:
-  /// The gateway is there.
+  /// Adds the gateway, or renews its membership.
   void refresh(const std::string &gateway, timestamp now);
-  /// The gateway's arc; of no length where it has not told lately.
+  /// Returns the gateway's arc; its length is zero when the membership has
+  /// expired.
   [[nodiscard]] ring_arc arc_of(const std::string &gateway, timestamp now);
 
 private:
@@ -27,7 +28,8 @@
     std::string gateway;
     timestamp last_report{};
   };
-  /// By point. Two gateways of one point, one in millions, take turns.
+  /// Members by their point. Of two gateways with the same point, the one that
+  /// reported last owns the arc.
   std::map<std::uint32_t, member> members_;
   timestamp last_expiry_check_{};
 };
--- a/src/records/group_failure_detector.cpp
+++ b/src/records/group_failure_detector.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Silence of all nodes that counts as lost contact: two questions asked of
-/// different nodes (`ledger_options::min_retry_timeout`) and the way of a
-/// third.
+/// The group is unreachable after this long without a reply: time for two
+/// requests to different nodes (`ledger_options::min_retry_timeout`) and for a
+/// third one to be delivered.
 constexpr duration_ms silence_timeout{600};
-/// What was heard this long ago says that the group is there. Longer than a
-/// gateway with little traffic goes without a question.
+/// A reply of this age still shows that the group is reachable. Longer than the
+/// interval between requests of a gateway with little traffic.
 constexpr duration_ms recent_reply_window{1000};
 
 } // namespace
@@ -36,7 +36,8 @@
     return;
   }
   const bool peers_reach_it = reported == peer_reachability::reachable ||
-                              // Cut off from the other gateways as well.
+                              // This process is cut off from the other gateways
+                              // as well.
                               reported == peer_reachability::no_answer;
   state_ = peers_reach_it ? group_reachability::cut_off
                           : group_reachability::unreachable;
--- a/src/records/group_failure_detector.hpp
+++ b/src/records/group_failure_detector.hpp
@@ -1,7 +1,7 @@
-// Whether a process still hears the record group, and whose fault it is when it
-// does not: its own, when others hear the group (it is cut off, and somebody
-// else had better serve its clients), or the group's, when nobody does (then
-// waiting is the best that anybody can do). A reducer; it does no I/O.
+// Failure detector for the record group, as seen by one process. When the group
+// is unreachable, it distinguishes two cases: other gateways reach it, so that
+// this process is cut off and its clients are better served elsewhere; or no
+// gateway reaches it, and waiting is the best option. It performs no I/O.
 #pragma once
 
 #include "base/time.hpp"
@@ -10,32 +10,33 @@
 
 namespace heathtrestle::records {
 
-/// What other gateways answered to whether they hear the group.
+/// Whether other gateways reach the group, as they reported.
 enum class peer_reachability : std::uint8_t {
-  /// There is nobody to ask.
+  /// No other gateway is known.
   no_peers,
-  /// Nobody answered.
+  /// No gateway answered.
   no_answer,
-  /// Somebody answered, and none that did hears the group.
+  /// At least one gateway answered, and none of those reaches the group.
   unreachable,
-  /// One of them hears it.
+  /// At least one gateway reaches the group.
   reachable,
 };
 
 enum class group_reachability : std::uint8_t {
   reachable,
-  /// Nothing was heard for a while though something was asked.
+  /// No reply arrived for a while although requests were waiting.
   unreachable,
-  /// It is silent for this process, and not for others.
+  /// Unreachable for this process only.
   cut_off,
 };
 
 class group_failure_detector {
 public:
-  /// A node of the group has answered something.
+  /// Records a reply of any node of the group.
   void on_reply(timestamp now);
-  /// @param unanswered_since when the oldest question without any answer since
-  /// was asked; the epoch for none.
+  /// Detects a timeout.
+  /// @param unanswered_since when the oldest request that has had no reply
+  /// since was sent; the epoch for none.
   void check(timestamp unanswered_since, timestamp now);
   void on_peer_reachability(peer_reachability reported);
 
@@ -43,7 +44,8 @@
   [[nodiscard]] bool cut_off() const {
     return state_ == group_reachability::cut_off;
   }
-  /// True when something was heard so lately that others may rely on it.
+  /// True when the last reply is recent enough to tell other gateways that the
+  /// group is reachable.
   [[nodiscard]] bool heard_lately(timestamp now) const;
 
 private:
--- a/src/records/load_reports.cpp
+++ b/src/records/load_reports.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// What a gateway told counts this long: several of the intervals in which a
-/// busy one tells it, so that one that has ended is soon forgotten.
+/// A report expires after this long: several report intervals of a busy
+/// gateway, so that one that stopped is soon ignored.
 constexpr duration_ms report_lifetime{1500};
 
-/// Calls `use(replica, running)` for each replica where something runs; lists
-/// of unequal length end with the shorter one.
+/// Calls `use(replica, running)` for each replica with running requests. Lists
+/// of unequal length are cut to the shorter one.
 template <typename Use>
 void for_each_load(const wire::ReplicaLoads &loads, Use use) {
   const int listed = std::min(loads.replicas_size(), loads.running_size());
--- a/src/records/load_reports.hpp
+++ b/src/records/load_reports.hpp
@@ -1,11 +1,12 @@
-// The requests that gateways have under way at replicas, as they tell them with
-// what they ask of the record group. Each is told the sum of the others', so
-// that all place requests by the same load. Kept in memory only and never
-// logged: a new leader has heard from everybody within a second.
+// Aggregates the load reports of gateways: the requests that each has in flight
+// at replicas, sent along with requests to the record group. Each gateway
+// receives the sum over the other gateways, so that all place requests by the
+// same load. Reports are kept in memory only and never logged, since a new
+// leader receives them again within a second.
 //
-// Sums are kept up to date as gateways tell, so that an answer costs the number
-// of replicas, however many gateways there are. Each is also told its part of
-// what all share (`gateway_hash_ring`).
+// The sums are updated with each report, so that the cost of a reply depends on
+// the number of replicas and not on that of gateways. A reply also contains the
+// gateway's arc of the hash ring (`gateway_hash_ring`).
 #pragma once
 
 #include "base/time.hpp"
@@ -21,10 +22,12 @@
 
 class load_reports {
 public:
-  /// @param gateway its address; what it told before is void.
+  /// Replaces the last report of a gateway.
+  /// @param gateway its address.
   void update(const std::string &gateway, const wire::ReplicaLoads &loads,
               timestamp now);
-  /// What the gateways but this one have told lately.
+  /// Returns the sum of the unexpired reports of all gateways but this one, and
+  /// this gateway's arc.
   [[nodiscard]] wire::SharedLoads loads_of_others(const std::string &gateway,
                                                   timestamp now);
 
@@ -38,18 +41,18 @@
     timestamp at{};
   };
 
-  /// Takes a gateway's report out of the sums.
+  /// Subtracts a gateway's report from the sums and deletes it.
   void remove_report(const std::string &gateway);
   void remove_expired(timestamp now);
 
   std::map<std::string, report> reports_by_gateway_;
   gateway_hash_ring ring_;
-  /// Running requests by replica, of all reports together.
+  /// Running requests by replica, summed over all reports.
   std::map<std::uint32_t, std::uint32_t> running_by_replica_;
-  /// Reports in the order of their age; those since replaced are passed over.
+  /// Reports, oldest first; replaced ones are skipped on expiry.
   std::deque<queued_report> reports_by_age_;
-  /// Running requests of all reports, and the sum of the times (milliseconds)
-  /// at which each of them was reported.
+  /// Running requests of all reports, and the sum of the times in milliseconds
+  /// at which each of these requests was reported.
   std::uint64_t total_running_ = 0;
   std::uint64_t summed_report_times_ms_ = 0;
 };
--- a/src/records/partition_circuit_breaker.cpp
+++ b/src/records/partition_circuit_breaker.cpp
@@ -6,13 +6,12 @@
 
 namespace {
 
-/// A caller that comes back sooner is refused again, by another gateway at
-/// best.
+/// A caller that retries sooner is likely to be refused again.
 constexpr duration_ms min_retry_after{500};
-/// One that comes back later waits although the partition may long be back.
+/// A caller that retries later waits needlessly when the partition is back.
 constexpr duration_ms max_retry_after{2000};
-/// How long callers are refused at the most once the partition is back. Each
-/// gateway asks one storage node, as often as it would ask one question again.
+/// Interval of the probes of each gateway, each sent to one storage node.
+/// Callers are refused for at most this long after the partition is back.
 constexpr duration_ms probe_interval{250};
 
 } // namespace
--- a/src/records/partition_circuit_breaker.hpp
+++ b/src/records/partition_circuit_breaker.hpp
@@ -1,10 +1,11 @@
-// Whether one partition of the record group serves a gateway: a reducer, with
-// no I/O and no clock of its own.
+// Circuit breaker for one partition of the record group, as used by a gateway.
+// It performs no I/O and reads no clock.
 //
-// A partition that has lost its majority, or whose leader is gone, answers
-// nothing, or says only that nobody leads. An election is waited for; after
-// that a caller had better be told at once when to come back than be held until
-// its patience ends. Probes find out when the partition is back.
+// A partition without a majority or a leader does not answer, or answers only
+// that there is no leader. The breaker stays closed for the duration of an
+// election; then it opens, and callers are refused at once with a retry time
+// rather than held until their deadline. Probes detect when the partition is
+// back.
 #pragma once
 
 #include "base/time.hpp"
@@ -13,32 +14,33 @@
 
 class partition_circuit_breaker {
 public:
-  /// @param patience how long questions may go without an answer of a leader
-  /// until the partition counts as unserved.
+  /// @param open_after how long requests may go without a reply of a leader
+  /// before the breaker opens.
   explicit partition_circuit_breaker(duration_ms open_after)
       : open_after_(open_after) {}
 
-  /// A leader has answered.
-  /// @return true when the partition was unserved until now.
+  /// Closes the breaker after a reply of a leader.
+  /// @return true when it was open.
   bool on_served();
-  /// @param unserved_since when the oldest question was asked that no leader
-  /// has answered since; the epoch for none.
-  /// @return true when the partition counts as unserved from now on.
+  /// Opens the breaker when requests have waited too long.
+  /// @param unserved_since when the oldest request that no leader has answered
+  /// since was sent; the epoch for none.
+  /// @return true when the breaker opens.
   bool open_if_overdue(timestamp unserved_since, timestamp now);
 
   [[nodiscard]] bool is_served() const {
     return unserved_since_ == timestamp{};
   }
-  /// When a caller that is refused had better come back: an outage is likely to
-  /// last as long again as it has lasted, within bounds.
+  /// When a refused caller should retry: after as long as the outage has
+  /// lasted, within bounds.
   [[nodiscard]] duration_ms retry_after(timestamp now) const;
-  /// True when it is time to ask whether the partition is back; counts as
-  /// asked.
+  /// Returns true when the breaker is open and a probe is due, and schedules
+  /// the next one.
   bool start_probe_if_due(timestamp now);
 
 private:
   duration_ms open_after_;
-  /// Since when it has been unserved; the epoch while it is served.
+  /// When the outage began; the epoch while the breaker is closed.
   timestamp unserved_since_{};
   timestamp next_probe_{};
 };
--- a/src/records/permit_allocator.cpp
+++ b/src/records/permit_allocator.cpp
@@ -9,28 +9,30 @@
 
 namespace {
 
-/// A reservation may be given for so long: the requests of some commits, and as
-/// long as an election takes, so that a change of leaders keeps few waiting.
+/// Permits of a reservation can be granted for this long: the duration of some
+/// commits and of an election, so that a change of leaders blocks few requests.
 constexpr duration_ms reservation_lifetime{1000};
-/// Reserved ahead, of what was asked for in the last half second; and at least.
+/// Headroom as a share of the requests of the last half second, and its
+/// minimum.
 constexpr double headroom_share = 0.6;
 constexpr std::uint32_t min_headroom = 2;
-/// The next reservation is asked for when less than this is left of what is
-/// reserved ahead: a commit takes a fifth of the time that the rest lasts.
+/// The next reservation is proposed when less than this share of the headroom
+/// is left.
 constexpr double refill_threshold = 0.4;
-/// Beyond this share of what may count nothing is reserved ahead: permits that
-/// wait in a leader's memory are none for whoever asks elsewhere.
+/// No headroom is reserved when the permits counted exceed this share of the
+/// maximum, since unused permits in one leader's memory are lost to other
+/// requests.
 constexpr double headroom_limit = 0.85;
-/// Programs begin at a pace once those of the window are likely to need this
-/// share of the limit and of the requests tolerated beyond it; the rest is for
-/// those that turn out longer than usual.
+/// New programs are paced once those of the window are likely to need this
+/// share of the limit and of the slack beyond it; the rest is left for programs
+/// that are longer than usual.
 constexpr double pacing_limit_share = 0.8;
 constexpr double pacing_slack_share = 0.5;
-/// And then at this share of what the rate bears.
+/// Share of the rate at which paced programs begin.
 constexpr double paced_rate_share = 0.95;
 constexpr duration_ms min_retry_after{100};
-/// Requests after which earlier ones count half in the mean length of programs:
-/// some minutes of one partition.
+/// Once this many requests are counted in the mean length of programs, all
+/// counts are halved.
 constexpr double max_length_samples = 10000;
 constexpr duration_ms idle_expiry{60000};
 constexpr double thousandths = 1000;
@@ -46,7 +48,7 @@
       allocations_.try_emplace(wanted.tenant(), window).first->second;
   if (wanted.terms().version() > allocation.terms.version()) {
     allocation.terms = wanted.terms();
-    allocation.exhausted_until = {}; // it may have been raised
+    allocation.exhausted_until = {}; // the quota may have been raised
   }
   return allocation;
 }
@@ -113,7 +115,7 @@
   allocation.recent_programs.add(now, begins ? 1 : 0);
   if (allocation.last_reservation.counted() <=
       allocation.last_reservation.limit()) {
-    // Programs that are cut short by the quota are no measure of its need.
+    // Programs that the quota cuts short say nothing about their usual length.
     record_grant(begins);
   }
   wire::PermitAnswer answer;
@@ -188,7 +190,7 @@
                                    tenants::quota_time time, timestamp now) {
   const auto found = allocations_.find(reserved.tenant());
   if (found == allocations_.end() || !found->second.proposal_pending) {
-    return; // of an earlier term
+    return; // proposed in an earlier term
   }
   tenant_allocation &allocation = found->second;
   allocation.proposal_pending = false;
@@ -199,7 +201,7 @@
   if (reserved.free_after_ms() > 0) {
     allocation.exhausted_until = now + duration_ms{reserved.free_after_ms()};
   }
-  // Those under way first.
+  // Serve running programs first.
   std::stable_partition(allocation.waiting.begin(), allocation.waiting.end(),
                         [](const gateway_permit_request &each) {
                           return !each.wanted.begins_program();
@@ -208,7 +210,7 @@
     const bool given = allocation.available > 0 && now < allocation.expires_at;
     const bool refused = !given && now < allocation.exhausted_until;
     if (!given && !refused) {
-      break; // came while this one was on its way; the next one is for them
+      break; // left for the next reservation
     }
     gateway_permit_request request = std::move(allocation.waiting.front());
     allocation.waiting.pop_front();
--- a/src/records/permit_allocator.hpp
+++ b/src/records/permit_allocator.hpp
@@ -1,19 +1,19 @@
-// Gives permits to gateways at a partition's leader, out of what the partition
-// has reserved for each tenant.
+// Grants permits to gateways at a partition's leader, out of the quota that the
+// partition has reserved for each tenant.
 //
-// To record each permit would cost a commit a request; to divide a limit among
-// gateways by what each is asked has no bound that the number of gateways
-// doesn't raise. So the leader reserves some of a tenant's permits ahead, a
-// little more than it needs for the moment, and gives them from memory: most
-// requests wait for one way to the leader and back.
+// Recording each permit would cost a commit per request, and the overshoot of a
+// limit that is divided among the gateways grows with their number. So the
+// leader reserves slightly more of a tenant's permits than it currently needs
+// and grants them from memory: most requests wait for a single round trip to
+// the leader.
 //
-// A program that is refused in its midst has run in vain. So requests of
-// programs under way get permits first, and once the programs that began within
-// the window are likely to need the limit, new ones begin at the pace that the
-// rate bears.
+// A program that is refused after its first request has wasted its earlier
+// requests. Requests of running programs therefore get permits first. Once the
+// programs begun within the window are likely to need the whole limit, new ones
+// begin at the pace that the rate allows.
 //
-// It decides only, and knows nothing that must last: a new leader begins with
-// an empty desk, and the partition counts what was reserved as given.
+// The allocator holds no durable state: a new leader starts with an empty one,
+// and the partition counts everything that was reserved as granted.
 #pragma once
 
 #include "base/time.hpp"
@@ -30,10 +30,10 @@
 
 namespace heathtrestle::records {
 
-/// A gateway's question for one permit.
+/// A gateway's request for one permit.
 struct gateway_permit_request {
   std::string reply_to; // the gateway's address
-  std::uint64_t id = 0; // unique there
+  std::uint64_t id = 0; // unique at the gateway
   std::uint64_t members_hash = 0;
   wire::TakePermit wanted;
 };
@@ -45,26 +45,26 @@
 
 class permit_allocator {
 public:
-  /// Takes a question; its answer comes with `take_replies`, now or later.
-  /// @param time of the partition.
+  /// Accepts a request. `take_replies` returns the reply, now or later.
+  /// @param time the partition's time.
   void request_permit(gateway_permit_request request, tenants::quota_time time,
                       timestamp now);
 
-  /// What is to be reserved, to be recorded by the partition; of each tenant
-  /// one at a time is under way.
+  /// Returns the reservations that the partition has to record. At most one
+  /// reservation per tenant is in progress.
   std::vector<wire::ReserveQuota> take_reservations(timestamp now);
 
-  /// A reservation was recorded.
+  /// Applies a reservation that was recorded.
   void on_reserved(const wire::ReservedQuota &reserved,
                    tenants::quota_time time, timestamp now);
 
   std::vector<permit_reply> take_replies();
 
-  /// This node leads no more.
-  /// @return questions that wait for an answer.
+  /// Drops all state when this node ceases to lead.
+  /// @return the requests that wait for a reply.
   std::vector<gateway_permit_request> clear();
 
-  /// Forgets tenants that nobody asks for.
+  /// Drops the state of tenants without recent requests.
   void forget_idle(timestamp now);
 
 private:
@@ -76,31 +76,33 @@
     static constexpr duration_ms recent_requests_span{500};
 
     wire::QuotaTerms terms;
-    std::uint64_t last_number = 0; // the last reservation recorded
-    std::uint32_t available = 0;   // of it, to be given
+    std::uint64_t last_number = 0; // of the last reservation recorded
+    std::uint32_t available = 0;   // reserved permits that are not granted
     timestamp expires_at{};
-    /// Given since what the last proposal told.
+    /// Granted since the last proposal.
     tenants::permits_by_slice given;
     bool proposal_pending = false;
-    /// Of the reservation that is proposed, if any.
+    /// Expiry of the proposed reservation, if any.
     timestamp proposed_expiry{};
-    /// Nothing is left before that.
+    /// The partition has no free permits before this time.
     timestamp exhausted_until{};
     wire::ReservedQuota last_reservation;
     std::deque<gateway_permit_request> waiting;
-    tenants::sliding_count recent_requests; // asked for
-    tenants::sliding_count recent_programs; // begun
-    tenants::pacer program_pacer;           // of programs
+    tenants::sliding_count recent_requests; // requests received
+    tenants::sliding_count recent_programs; // programs begun
+    tenants::pacer program_pacer;           // limits new programs
     timestamp last_request_at{};
   };
 
   tenant_allocation &allocation_of(const wire::TakePermit &wanted);
-  /// Answers where that needs no reservation.
-  /// @return false when the question has to wait.
+  /// Replies when that needs no reservation.
+  /// @return false when the request has to wait.
   bool try_answer(tenant_allocation &allocation,
                   const gateway_permit_request &request,
                   tenants::quota_time time, timestamp now);
-  /// True when a program has to wait for its turn to begin.
+  /// Refuses the first request of a program that exceeds the pace of new
+  /// programs.
+  /// @return true when it was refused.
   bool refuse_if_paced(tenant_allocation &allocation,
                        const gateway_permit_request &request, timestamp now);
   void grant(tenant_allocation &allocation, gateway_permit_request request,
@@ -108,7 +110,7 @@
   void refuse(const tenant_allocation &allocation,
               gateway_permit_request request, bool paced,
               duration_ms retry_after);
-  /// Permits wanted beyond those that are waited for.
+  /// Number of permits to hold in reserve beyond those that requests wait for.
   [[nodiscard]] std::uint32_t headroom(tenant_allocation &allocation,
                                        timestamp now) const;
   [[nodiscard]] double requests_per_program() const;
@@ -116,9 +118,10 @@
 
   std::unordered_map<std::string, tenant_allocation> allocations_;
   std::vector<permit_reply> replies_;
-  /// Permits given, and those to programs that began, old ones counting ever
-  /// less. Begins with so many programs of a usual length that a rush of new
-  /// ones, which have not asked for the rest yet, doesn't look like short ones.
+  /// Permits granted, and those to the first requests of programs, with older
+  /// ones decaying. Starts with many programs of a usual length, so that a
+  /// burst of new ones, which have not made their other requests yet, does not
+  /// look like short programs.
   double requests_given_ = 2000;
   double programs_given_ = 200;
 };
--- a/src/records/quota_messages.hpp
+++ b/src/records/quota_messages.hpp
@@ -1,4 +1,5 @@
-// The accounts of tenants as they travel and are kept.
+// Conversions between the quota accounts of tenants and their protobuf
+// messages.
 #pragma once
 
 #include "tenants/quota_account.hpp"
@@ -17,7 +18,7 @@
 wire::RecordQuota to_wire(const tenants::quota_account &account,
                           const std::string &tenant);
 
-/// Fills a list of what was given with a map of it.
+/// Appends the permits granted in each slice to a list.
 void fill(google::protobuf::RepeatedPtrField<wire::PermitsGiven> &list,
           const tenants::permits_by_slice &given);
 
--- a/src/records/retry_timeout.cpp
+++ b/src/records/retry_timeout.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// An answer that takes this many times longer than usual is not awaited.
+/// The timeout is this multiple of the smoothed response time.
 constexpr int response_time_multiple = 4;
-/// The same, of one answer that took longer than any was awaited.
+/// A response that exceeds the timeout raises it at once to this multiple of
+/// the response time.
 constexpr int slow_multiple = 2;
-/// The weight of what was known before, against one new answer.
+/// Weight of the smoothed response time relative to a new one.
 constexpr int smoothing_weight = 7;
-/// Beyond this the longest time-out is reached from any other.
+/// Upper bound of the backoff factor.
 constexpr int max_backoff = 8;
 
 } // namespace
@@ -24,8 +25,8 @@
       first ? response_time
             : (smoothing_weight * smoothed_response_time_ + response_time) /
                   (smoothing_weight + 1);
-  // A group that has become slow is believed at once: while it is taken for a
-  // quick one, everything is asked twice.
+  // React at once to a group that has become slow: until the timeout rises,
+  // every request is sent twice.
   const bool slower = response_time > timeout();
   smoothed_response_time_ =
       slower ? std::max(smoothed,
--- a/src/records/retry_timeout.hpp
+++ b/src/records/retry_timeout.hpp
@@ -1,11 +1,11 @@
-// How long an answer is awaited before its question is asked again: several
-// times what answers have taken lately, within bounds. A group that is only
-// slow would be slower still for being asked everything twice.
+// Adaptive retry timeout: a multiple of the recent response times, within
+// bounds. Retrying every request to a group that is merely slow would slow it
+// down further.
 //
-// Only answers to questions that were asked once tell how long answers take
-// (Karn's rule). Once all take longer than the time-out, every question is
-// asked twice and none tells anything: so the time-out grows with each question
-// that it ran out for, until an answer to a question asked once is there.
+// Only requests that were sent once yield a response time (Karn's rule). When
+// every response takes longer than the timeout, all requests are sent twice and
+// none yields one. The timeout therefore doubles with each expiry, until a
+// request that was sent once is answered.
 #pragma once
 
 #include "base/time.hpp"
@@ -14,27 +14,26 @@
 
 class retry_timeout {
 public:
-  /// @param least waited in any case.
-  /// @param most waited at the most, however slow answers are.
+  /// @param minimum lower bound of the timeout.
+  /// @param maximum upper bound of the timeout, also when backing off.
   retry_timeout(duration_ms minimum, duration_ms maximum)
       : minimum_(minimum), maximum_(maximum) {}
 
-  /// An answer took this long. Only of questions that were asked once: of
-  /// others it is not known which time the answer belongs to.
+  /// Takes a response time into account. Pass only those of requests that were
+  /// sent once: for others it is unknown which attempt was answered.
   void record_response_time(duration_ms response_time);
-  /// The time-out ran out for a question, which is asked again, though whom it
-  /// was sent to answers others.
-  /// @param sent when it was asked last. Questions from before the time-out
-  /// grew last say nothing about the longer one.
+  /// Backs off after a request timed out while its receiver answered others.
+  /// @param sent when the request was last sent. A request sent before the last
+  /// backoff does not cause another one.
   void on_timeout(timestamp sent, timestamp now);
   [[nodiscard]] duration_ms timeout() const;
 
 private:
   duration_ms minimum_;
   duration_ms maximum_;
-  /// Smoothed; zero before the first answer.
+  /// Zero before the first response.
   duration_ms smoothed_response_time_{0};
-  /// What the time-out is multiplied by.
+  /// Factor by which the timeout is multiplied.
   int backoff_ = 1;
   timestamp last_backoff_{};
 };
--- a/tests/records/group_failure_detector_test.cpp
+++ b/tests/records/group_failure_detector_test.cpp
@@ -43,7 +43,7 @@
     detector_.on_peer_reachability(peer_reachability::reachable);
     detector_.on_reply(start_ + duration_ms{900});
     CPPUNIT_ASSERT(detector_.state() == group_reachability::reachable);
-    // The old question is still open; its silence begins anew.
+    // The old request still waits; its silence is counted from the reply.
     detector_.check(start_, start_ + duration_ms{1400});
     CPPUNIT_ASSERT(detector_.state() == group_reachability::reachable);
   }
--- a/tests/records/permit_allocator_test.cpp
+++ b/tests/records/permit_allocator_test.cpp
@@ -1,5 +1,5 @@
-// Programs of a tenant at many gateways: which may begin, and which of those
-// are refused in their midst.
+// Programs of a tenant at many gateways: quota limits hold, and few running
+// programs are refused.
 #include "support/quota_fleet.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,7 +12,7 @@
 using test_support::quota_faults;
 using test_support::quota_fleet;
 
-/// What the operator grants at the very most in one window.
+/// The maximum number of permits within one window.
 double permit_bound(const tenants::request_quota &quota) {
   constexpr double overshoot = 1.1;
   constexpr double slack = 20;
@@ -70,7 +70,7 @@
   void over_the_limit_whole_programs_are_served() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{5000}, 100, length);
-    // What was begun before the demand rose, and at once when it did.
+    // Programs begun before the demand rose, and just after it did.
     all.run_programs(duration_ms{5000}, 500, length);
     CPPUNIT_ASSERT_MESSAGE(
         fmt::format("{} begun, {} failed", all.begun, all.failed),
@@ -78,10 +78,10 @@
     const int begun = all.begun;
     const int failed = all.failed;
     all.run_programs(duration_ms{15000}, 500, length);
-    // A program that fails midway has used its tenant's quota for nothing.
+    // A program that fails midway has wasted its tenant's quota.
     CPPUNIT_ASSERT((all.failed - failed) * 10 < all.begun - begun);
     CPPUNIT_ASSERT(all.refused > 0);
-    // And the quota is not left unused.
+    // The quota is not left unused.
     const double served = all.begun - begun - (all.failed - failed);
     CPPUNIT_ASSERT(served * length > 160.0 * 15 * 0.8);
   }
@@ -154,7 +154,7 @@
     const int before = all.begun;
     const int failed = all.failed;
     all.run_programs(quota_fleet::window / 2, 100, length);
-    // Three fifths of the demand may go on.
+    // Three fifths of the demand are within the quota.
     const double usual = 100.0 / length * 2.5;
     CPPUNIT_ASSERT(all.begun - before > usual * 0.4);
     CPPUNIT_ASSERT((all.failed - failed) * 4 < all.begun - before);
@@ -179,7 +179,8 @@
         account.reserve({.terms = terms, .wanted = 1}, later).granted == 1);
   }
 
-  /// A tenant in steady use is given permits out of what was reserved ahead.
+  /// A tenant with steady requests gets permits from the headroom, without
+  /// waiting for a commit.
   void most_permits_are_granted_without_a_commit() {
     permit_allocator allocator;
     tenants::quota_account account;
--- a/tests/records/retry_timeout_test.cpp
+++ b/tests/records/retry_timeout_test.cpp
@@ -28,7 +28,8 @@
   }
 
   void the_timeout_follows_rising_response_times() {
-    // Answers slow down to three times the least; none is asked for again.
+    // Response times rise to three times the minimum without exceeding the
+    // timeout.
     for (duration_ms response_time = 20ms; response_time <= 750ms;
          response_time += 10ms) {
       CPPUNIT_ASSERT(response_time < timeout_.timeout());
--- a/tests/support/quota_fleet.hpp
+++ b/tests/support/quota_fleet.hpp
@@ -1,7 +1,7 @@
-// The requests of one tenant at many gateways, and the partition that keeps its
-// account, without I/O: which requests are sent, and how many in the worst
-// window. Messages may be late or lost, gateways cut off or started anew, and
-// leaders replaced that don't know it yet.
+// Simulates the requests of one tenant at many gateways and the partition that
+// keeps its quota account, without I/O. Records which requests are sent and the
+// maximum in any window. Messages may be delayed or lost, gateways cut off or
+// restarted, and leaders replaced without noticing it.
 #pragma once
 
 #include "records/permit_allocator.hpp"
@@ -22,13 +22,13 @@
 
 namespace heathtrestle::test_support {
 
-/// What goes wrong on the way, and how often.
+/// Delays, and probabilities of faults.
 struct quota_faults {
-  duration_ms max_message_delay{3}; // of a message, one way
-  duration_ms max_commit_delay{20}; // until the leader hears of it
-  duration_ms max_send_delay{0};    // of a request that has a permit
-  double lost = 0;                  // share of messages
-  double misdirected = 0;           // share of questions to any node
+  duration_ms max_message_delay{3}; // one way
+  duration_ms max_commit_delay{20}; // until the proposer learns of it
+  duration_ms max_send_delay{0};    // of a request with a permit
+  double lost = 0;                  // share of messages lost
+  double misdirected = 0;           // share of requests sent to a random node
 };
 
 class quota_fleet {
@@ -44,7 +44,7 @@
     change_leader();
   }
 
-  /// Requests that begin no program, at gateways drawn at random.
+  /// Sends requests that begin no program, at random gateways.
   void run(duration_ms length, double per_second) {
     const timestamp end = now_ + length;
     for (; now_ < end; now_ += step) {
@@ -56,9 +56,9 @@
     }
   }
 
-  /// The same of programs: `length` requests each, a quarter of a second apart,
-  /// half of them at an eighth of the gateways.
-  /// @param per_second requests that the programs begun in a second make.
+  /// Runs programs of `length` requests each, 250 ms apart, half of them at an
+  /// eighth of the gateways.
+  /// @param per_second total rate of the requests of the programs begun.
   void run_programs(duration_ms span, double per_second, int length) {
     const timestamp end = now_ + span;
     for (; now_ < end; now_ += step) {
@@ -74,22 +74,23 @@
     }
   }
 
-  /// The first so many gateways reach no node.
+  /// Cuts the first `count` gateways off from all nodes.
   void cut_off(std::size_t count) {
     std::fill_n(cut_off_.begin(), count, true);
   }
   void heal() { std::fill(cut_off_.begin(), cut_off_.end(), false); }
-  /// The gateway's process begins anew: what it had asked for is forgotten.
+  /// Restarts a gateway's process, which loses its pending requests.
   void restart(std::size_t gateway) { ++started_[gateway]; }
-  /// All other nodes know of the new leader; the old one does not, and gives
-  /// what it has to those that still ask it.
+  /// Replaces the leader. The old one does not notice it and still serves the
+  /// gateways that send it requests.
   void change_leader() {
     leader_ = (leader_ + 1) % nodes_.size();
     ++term_;
     node &next = nodes_[leader_];
     next.allocator.clear();
     next.term = term_;
-    // Of what was on its way some was recorded, and its proposer never hears.
+    // A random part of the proposals in flight is recorded, and the proposer
+    // does not learn of it.
     const std::size_t recorded = random_() % (commits_.size() + 1);
     for (std::size_t place = 0; place < recorded; ++place) {
       apply(commits_[place]);
@@ -99,7 +100,7 @@
       each.clock.synchronize(time_, now_);
     }
   }
-  /// A configuration with another quota; gateways hear of it one by one.
+  /// Changes the quota; gateways use it after `deliver_configuration`.
   void change_quota(tenants::request_quota quota) {
     const std::uint64_t version = terms_.rbegin()->first + 1;
     terms_[version] = terms_of(quota, version);
@@ -114,11 +115,11 @@
   }
   void set_faults(quota_faults faults) { faults_ = faults; }
 
-  /// The most requests sent in any window.
+  /// The maximum number of requests sent in any window.
   [[nodiscard]] std::size_t most_in_window() const {
     return most_in_window(timestamp{});
   }
-  /// The same of those sent from a moment on.
+  /// The same, for requests sent at or after `from`.
   [[nodiscard]] std::size_t most_in_window(timestamp from) const {
     std::vector<timestamp> sent;
     for (const timestamp each : sent_) {
@@ -145,7 +146,7 @@
   int refused = 0;
   int paced = 0;
   int begun = 0;  // programs
-  int failed = 0; // of these, refused in their midst
+  int failed = 0; // programs refused after their first request
 
   static constexpr duration_ms window{5000};
   static constexpr std::uint32_t overshoot_permille = 100;
@@ -166,12 +167,12 @@
   /// One request at a gateway.
   struct request {
     std::size_t gateway = 0;
-    std::uint64_t started = 0; // which of its processes
+    std::uint64_t started = 0; // incarnation of the gateway's process
     bool begins = false;
     std::size_t program = 0;
     timestamp asked{};
   };
-  /// A reservation on its way through the log.
+  /// A proposed reservation that is not committed yet.
   struct commit {
     timestamp due{};
     std::uint64_t term = 0;
@@ -179,7 +180,7 @@
     tenants::quota_time time = 0;
     wire::ReserveQuota wanted;
   };
-  /// Something that happens later.
+  /// A scheduled event.
   struct event {
     timestamp due{};
     std::uint64_t request = 0;
@@ -218,7 +219,7 @@
                      .begins = begins,
                      .program = program,
                      .asked = now_};
-    // A gateway may ask a leader of before.
+    // A gateway may send to a former leader.
     const bool knows = random_() % 1000 >= faults_.misdirected * 1000;
     const std::size_t asked = knows ? leader_ : random_() % nodes_.size();
     if (!cut_off_[gateway] && !loses_message()) {
@@ -280,8 +281,8 @@
     }
   }
 
-  /// Entries are recorded in the order in which they were proposed; those of a
-  /// leader that was replaced are not.
+  /// Commits entries in the order of their proposal; those of a replaced leader
+  /// are not committed.
   void record() {
     while (!commits_.empty() && commits_.front().due <= now_) {
       const commit each = std::move(commits_.front());
@@ -289,8 +290,8 @@
       const tenants::reservation made = apply(each);
       for (std::size_t number = 0; number < nodes_.size(); ++number) {
         if (number != each.proposer) {
-          // Applied by the others now or later; a clock that follows later is
-          // only slower.
+          // The others may apply it later in reality; a clock that is
+          // synchronized later is only slower.
           nodes_[number].clock.synchronize(time_, now_);
         }
       }
