--- a/src/records/group_directory.cpp
+++ b/src/records/group_directory.cpp
@@ -16,13 +16,13 @@
 
 constexpr duration_ms initial_delay{100};
 constexpr duration_ms max_delay{1000};
-/// A node that has its group checks now and then whether it still does.
+/// Interval at which a node in contact with its group checks the contact.
 constexpr duration_ms settled_check_interval{500};
-/// With the pauses above: 0.7 s after contact was lost, and then every four
-/// seconds.
+/// Rounds between two listings. With the delays above, that is 0.7 s after
+/// contact was lost and then every four seconds.
 constexpr int rounds_per_listing = 4;
-/// The node that is to found the group tries in the first rounds alone; with
-/// the pauses above the others follow 0.7 s later.
+/// The first listed node tries to bootstrap alone in these rounds; with the
+/// delays above the others follow 0.7 s later.
 constexpr int rounds_reserved_for_first = 3;
 constexpr int hexadecimal = 16;
 
@@ -109,8 +109,8 @@
     if (in_touch) {
       search_.rounds = 0;
     } else {
-      // Those that register later greet this node, so that one listing does
-      // unless the search takes long.
+      // Nodes that register later contact this one, so that a single listing is
+      // enough unless the search takes long.
       if (!search_.looked_up ||
           search_.rounds % rounds_per_listing == rounds_per_listing - 1) {
         co_await look_up_members();
@@ -135,7 +135,8 @@
   if (created.error() != objects::store_error::conflict) {
     co_return false;
   }
-  // Made by an earlier start, on this disk or on one that is lost.
+  // The object is from an earlier start, with this disk or with one that is
+  // lost.
   const auto replaced = co_await store_.replace(
       std::string(member_kind), self.name(), 0, to_document(self));
   co_return replaced.has_value();
@@ -181,7 +182,7 @@
     runtime_.found();
     co_return;
   }
-  // The object may be this node's own, made by a call whose answer was lost.
+  // This node may have created the object in a call whose reply was lost.
   const auto group =
       co_await store_.get(std::string(group_kind), std::string(group_name));
   if (!group) {
--- a/src/records/ledger_client.cpp
+++ b/src/records/ledger_client.cpp
@@ -119,7 +119,8 @@
   const pending_ptr entry =
       co_await submit_and_wait(to_change(std::move(request)), deadline);
   if (!entry->answered) {
-    // The grant may come to pass unseen. It must not count for ever.
+    // The turn may be granted although the reply was lost. Release it, or it
+    // would count against the budget for good.
     settle(std::move(cancelled));
   }
   co_return outcome_of(*entry);
@@ -165,8 +166,8 @@
   const permit_verdict refusal =
       answer.paced() ? permit_verdict::paced : permit_verdict::used_up;
   return {.verdict = answer.granted() ? permit_verdict::granted : refusal,
-          // It was given after it was first asked for, whichever time it was
-          // asked for that is answered here.
+          // The permit was granted after the first attempt was sent, whichever
+          // attempt this reply answers.
           .good_until = entry.first_sent + tenants::permit_lifetime,
           .retry_after = duration_ms{answer.retry_after_ms()},
           .counted = answer.counted(),
@@ -238,7 +239,7 @@
   flush_soon();
   co_await wait_for(entry, id);
   if (!entry->answered) {
-    // Nobody waits for it any more, but the tokens were used.
+    // The caller no longer waits, but the tokens were used: keep retrying.
     entry->awaited = false;
     entry->deadline = steady_now() + options_.settle_timeout;
     pending_[id] = entry;
@@ -389,7 +390,7 @@
     if (found == pending_.end() || found->second->answered) {
       continue;
     }
-    // A group that elects a leader is asked again a little later.
+    // Retry a little later while the group elects a leader.
     found->second->sent = names_other_leader
                               ? timestamp{}
                               : steady_now() - retry_timeout_.timeout() +
--- a/src/records/ledger_client.hpp
+++ b/src/records/ledger_client.hpp
@@ -1,6 +1,6 @@
-// The gateway's side of one partition of the record group: finds the leader,
-// asks again when an answer does not come, and joins what is asked at about the
-// same time.
+// A gateway's client for one partition of the record group. Finds the leader,
+// retries requests that are not answered, and batches requests that are made at
+// about the same time.
 #pragma once
 
 #include "records/partition_circuit_breaker.hpp"
@@ -20,33 +20,36 @@
 namespace heathtrestle::records {
 
 struct ledger_options {
-  /// "ip:port" on which the group's answers arrive.
+  /// "ip:port" at which replies arrive.
   std::string address;
-  /// The partition of the record group that is asked.
+  /// The partition that requests are sent to.
   std::uint32_t partition = 0;
-  /// A question is asked again after this long at the least, and of a group
-  /// that answers slowly after more (`retry_timeout`).
+  /// Bounds of the timeout after which a request is sent again
+  /// (`retry_timeout`).
   duration_ms min_retry_timeout{250};
   duration_ms max_retry_timeout{1500};
-  /// Ends that nobody waits for travel with the next question, at the latest
-  /// after this long.
+  /// Turn ends that no caller waits for are sent with the next request, or
+  /// after this long at the latest.
   duration_ms settle_delay{150};
-  /// Ends that cannot be recorded are tried this long.
+  /// Turn ends that cannot be recorded are retried for this long.
   duration_ms settle_timeout{30000};
-  /// What this process has seen of watched objects; told with each question.
+  /// Returns the revisions of watched objects that this process has seen, sent
+  /// with each request.
   std::function<wire::SeenRevisions()> seen;
-  /// Gets what any gateway has seen, with each answer.
+  /// Called with each reply, with the revisions that any gateway has seen.
   std::function<void(const wire::SeenRevisions &)> on_seen;
-  /// This process's own requests at replicas; told with a question, so often
-  /// at most. Empty for a client that tells none.
+  /// Returns this process's own load report, sent with a request at most once
+  /// per `loads_interval`. Empty for a client that reports none.
   std::function<wire::ReplicaLoads()> loads;
   duration_ms loads_interval{200};
-  /// Gets what the others have told, with the answer to such a question.
+  /// Called with the loads of the other gateways, which come with the reply to
+  /// a load report.
   std::function<void(const wire::SharedLoads &)> on_loads;
-  /// How long callers are held while no leader answers: longer than an election
+  /// How long callers wait while no leader answers. Longer than an election
   /// after the loss of a leader, which takes about a second.
   duration_ms unserved_after{1500};
-  /// Silence of all nodes after which their addresses are looked up again.
+  /// The addresses of the nodes are looked up again after this long without a
+  /// reply.
   duration_ms lookup_after{1000};
 };
 
@@ -56,7 +59,7 @@
   using sender =
       std::function<void(const std::string &address, const wire::Envelope &)>;
 
-  /// @param send may be replaced in tests; does not block.
+  /// @param send sends a message without blocking.
   ledger_client(asio::io_context &io, ledger_options options, sender send);
 
   asio::awaitable<turn_grant> begin(turn_request request,
@@ -66,29 +69,31 @@
   asio::awaitable<permit_answer> take_permit(permit_request request,
                                              timestamp deadline) override;
 
-  /// Asks for the turns that lead to `last`, whichever program kept them.
+  /// Reads the chain of turns that ends with `last`, whichever program recorded
+  /// them.
   asio::awaitable<turn_grant> read(std::string last, timestamp deadline);
 
-  /// Takes in an answer of the group.
+  /// Handles a reply of the group; ignores other messages.
   void on_message(const wire::Envelope &envelope);
 
-  /// Storage nodes found elsewhere; they are added to those known.
+  /// Adds storage nodes found by other means to the known ones.
   void learn_members(const wire::RecordMembers &members);
   [[nodiscard]] const wire::RecordMembers &members() const { return members_; }
-  /// True when nothing has answered for a while though something was asked.
+  /// True when no node is known, or when nothing was received for
+  /// `lookup_after` while requests were waiting.
   [[nodiscard]] bool is_unresponsive() const;
-  /// Since when something has been waiting for an answer while nothing at all
-  /// was heard of this partition; the epoch when nothing waits.
+  /// Since when a request has been waiting without any message from this
+  /// partition; the epoch when none waits.
   [[nodiscard]] timestamp unanswered_since() const;
-  /// Asks the next node whether it is there; it answers at once.
+  /// Sends an empty request to the next node, which answers at once.
   void probe();
-  /// Ends the wait for grants and permits that have not come: they are
-  /// `unavailable`.
+  /// Ends the wait for outstanding grants and permits with `unavailable`.
   void cancel_grants();
-  /// Ends that are not confirmed yet.
+  /// Number of turn ends that are not confirmed yet.
   [[nodiscard]] std::size_t unsettled() const { return unsettled_; }
 
-  /// Resends what was not answered. To be called every `tick_interval`.
+  /// Sends requests that are due and resends those that timed out. To be called
+  /// every `tick_interval`.
   void tick();
   static constexpr duration_ms tick_interval{25};
 
@@ -99,33 +104,35 @@
     wire::RecordChange change;
     timestamp added{};
     timestamp deadline{};
-    timestamp sent{}; // zero: to be sent
+    timestamp sent{}; // zero when the request is to be sent
     timestamp first_sent{};
-    std::string sent_to; // the node that it was sent to
+    std::string sent_to; // address of the node it was last sent to
     std::uint32_t send_count = 0;
     bool awaited = false;
     bool answered = false;
     wire::RecordReplyItem reply;
-    /// Cancelled when the answer is there.
+    /// Cancelled when the reply arrives.
     asio::steady_timer done;
   };
   using pending_ptr = std::shared_ptr<pending>;
 
-  /// Refuses at once.
+  /// Returns a refusal with the retry time of the circuit breaker.
   [[nodiscard]] turn_grant refusal() const;
-  /// Asks the node at `leader_` whether it is there.
+  /// Probes the node at `leader_`.
   void probe_leader();
-  /// Notices that no leader answers any more, and asks whether one is back.
+  /// Opens the circuit breaker when no leader answers, and sends probes while
+  /// it is open.
   void update_breaker(timestamp now);
-  /// Asks for a change and waits for its answer.
+  /// Submits a change and waits for its reply.
   asio::awaitable<pending_ptr> submit_and_wait(wire::RecordChange change,
                                                timestamp deadline);
-  /// Has the copies that a turn brings recorded right before it: they are
-  /// numbered before the question that is asked next, and travel with it.
+  /// Queues the copied turns of a request. They get an id before the request
+  /// that is submitted next and are sent in the same message, so that they are
+  /// recorded right before it.
   void send_copies(const turn_request &request, timestamp deadline);
   static turn_grant to_grant(const pending &entry);
   static permit_answer to_permit(const pending &entry);
-  /// The answer, or a refusal where the partition has turned unserved
+  /// Returns the reply, or a refusal when the circuit breaker has opened
   /// meanwhile.
   [[nodiscard]] turn_grant outcome_of(const pending &entry) const;
   std::uint64_t add_pending(pending_ptr entry);
@@ -135,16 +142,16 @@
   void complete_requests(const wire::RecordReply &reply);
   void handle_not_leader(const wire::RecordReply &reply);
   void try_next_member();
-  /// True when the node that was asked still counts as the leader and has not
-  /// answered anything since.
+  /// True when the node that received the request is still considered the
+  /// leader and has not answered since.
   [[nodiscard]] bool leader_is_silent_since(const pending &entry) const;
 
   asio::io_context &io_;
   ledger_options options_;
   sender send_;
   std::map<std::uint64_t, pending_ptr> pending_;
-  /// Begins at random: an answer to an earlier process at this address, which
-  /// may come seconds after its end, must meet no id of this one.
+  /// Starts at random: a reply to an earlier process at this address, which may
+  /// arrive seconds after its end, must not match an id of this one.
   std::uint64_t next_id_;
   wire::RecordMembers members_;
   std::uint64_t members_hash_ = 0;
@@ -152,7 +159,7 @@
   std::size_t next_member_ = 0;
   retry_timeout retry_timeout_;
   partition_circuit_breaker breaker_;
-  /// A node has named `leader_`, and it was not asked since.
+  /// A node has named `leader_`, which was not probed since.
   bool leader_hint_unprobed_ = false;
   timestamp last_answer_{};
   timestamp leader_answered_{};
--- a/src/records/partitioned_ledger.cpp
+++ b/src/records/partitioned_ledger.cpp
@@ -14,8 +14,7 @@
 
 namespace {
 
-/// While nothing is heard one node is asked so often: some requests on the way
-/// at a time, whatever the way takes.
+/// Interval of the probes while the group is unreachable.
 constexpr duration_ms probe_interval{100};
 
 } // namespace
@@ -29,7 +28,7 @@
     ledger_options own = options;
     own.partition = static_cast<std::uint32_t>(number);
     if (number != 0) {
-      own.loads = {}; // one leader adds them up
+      own.loads = {}; // load reports are summed by the leader of partition 0
     }
     clients_.push_back(std::make_unique<ledger_client>(io, own, send));
   }
@@ -61,7 +60,8 @@
   const bool wants_history = std::exchange(request.want_history, false);
   grant = co_await client.begin(std::move(request), deadline);
   if (grant.verdict == turn_verdict::unknown_turn) {
-    grant.verdict = turn_verdict::unavailable; // it is kept; its copy got lost
+    grant.verdict = turn_verdict::unavailable; // another partition holds it,
+                                               // but the copy was lost
   }
   if (wants_history && grant.verdict == turn_verdict::granted) {
     grant.history = std::move(found.history);
@@ -69,17 +69,17 @@
   co_return grant;
 }
 
-/// A turn that is looked for in several partitions.
+/// A search for a turn in several partitions.
 struct partitioned_ledger::turn_search {
   explicit turn_search(asio::io_context &io) : over(io) {}
 
-  /// Takes in one partition's answer.
+  /// Handles one partition's reply.
   void on_answer(turn_grant answer) {
     --awaited;
     if (answer.verdict == turn_verdict::granted) {
       found = std::move(answer);
     } else if (answer.verdict != turn_verdict::unknown_turn) {
-      found.verdict = turn_verdict::unavailable; // it may be kept there
+      found.verdict = turn_verdict::unavailable; // this partition may hold it
     }
     if (is_over()) {
       over.cancel();
@@ -91,16 +91,16 @@
 
   std::size_t awaited = 0;
   turn_grant found;
-  /// Cancelled when it is over.
+  /// Cancelled when the search is over.
   asio::steady_timer over;
 };
 
 asio::awaitable<turn_grant>
 partitioned_ledger::find_in_other_partitions(std::string last, std::size_t home,
                                              timestamp deadline) {
-  // All are asked at once: one after the other, with the grant before and the
-  // copy behind, six answers have to come in the time of one turn, which a
-  // group that answers in 0.2 s and more cannot give.
+  // Search all partitions at once: one after the other, together with the first
+  // grant and the copy, would take up to six round trips, longer than a turn
+  // waits for its grant when the group is slow.
   const auto search = std::make_shared<turn_search>(io_);
   search->found.verdict = turn_verdict::unknown_turn;
   search->awaited = clients_.size() - 1;
--- a/src/records/partitioned_ledger.hpp
+++ b/src/records/partitioned_ledger.hpp
@@ -1,5 +1,5 @@
-// The gateway's side of the whole record group: one client for each partition,
-// and the way of a program that goes on from a turn of another partition.
+// A gateway's client for the whole record group: one `ledger_client` per
+// partition, and the search for turns that another partition holds.
 #pragma once
 
 #include "records/group_failure_detector.hpp"
@@ -15,57 +15,60 @@
 
 class partitioned_ledger : public turn_ledger {
 public:
-  /// @param options of each client; the partition's number is filled in here.
-  /// @param partitions one at least; the same number in every process.
+  /// @param options options of each client; the partition's number is set here.
+  /// @param partitions at least one; the same number in every process.
   partitioned_ledger(asio::io_context &io, const ledger_options &options,
                      std::size_t partitions, const ledger_client::sender &send);
 
-  /// A turn that the program's own partition does not know is looked for in all
-  /// others; its chain is then copied over, durably, before the turn is
-  /// granted. Unknown is said only when every partition has said so.
+  /// When the program's partition does not know the previous turn, it is
+  /// searched in all others; its chain is then copied durably to the program's
+  /// partition before the turn is granted. Returns `unknown_turn` only when
+  /// every partition has said so.
   asio::awaitable<turn_grant> begin(turn_request request,
                                     timestamp deadline) override;
   asio::awaitable<bool> finish(turn_end end, timestamp deadline) override;
   void settle(turn_end end) override;
-  /// A tenant's account is kept by one partition.
+  /// Asks the partition that keeps the tenant's account.
   asio::awaitable<permit_answer> take_permit(permit_request request,
                                              timestamp deadline) override;
 
   [[nodiscard]] bool cut_off() const override { return detector_.cut_off(); }
   [[nodiscard]] std::vector<storage_place> storage_places() const override;
-  /// Notices silence of the whole group, and its end. To be called often.
+  /// Updates the failure detector, and sends probes while the group is
+  /// unreachable. To be called often.
   void check_reachability();
-  /// What other gateways say while this one hears nothing.
+  /// Applies what other gateways reported while this one does not reach the
+  /// group.
   void on_peer_reachability(peer_reachability reported);
   [[nodiscard]] const group_failure_detector &failure_detector() const {
     return detector_;
   }
 
-  /// Takes in an answer of the group.
+  /// Handles a reply of the group.
   void on_message(const wire::Envelope &envelope);
-  /// Storage nodes found elsewhere; they are added to those known.
+  /// Adds storage nodes found by other means to the known ones.
   void learn_members(const wire::RecordMembers &members);
   [[nodiscard]] const wire::RecordMembers &members() const;
-  /// True when some partition has not answered for a while.
+  /// True when any partition's client is unresponsive.
   [[nodiscard]] bool is_unresponsive() const;
-  /// Ends that are not confirmed yet, in all partitions.
+  /// Number of turn ends not confirmed yet, over all partitions.
   [[nodiscard]] std::size_t unsettled() const;
 
-  /// Resends what was not answered; runs until the process ends.
+  /// Ticks all clients; runs until the process ends.
   asio::awaitable<void> run();
 
 private:
   struct turn_search;
 
-  /// Finds the chain that ends with `last` outside partition `home`. Unknown
-  /// only when every other partition says so.
+  /// Searches all partitions but `home` for the chain that ends with `last`.
+  /// Returns `unknown_turn` only when each of them says so.
   asio::awaitable<turn_grant> find_in_other_partitions(std::string last,
                                                        std::size_t home,
                                                        timestamp deadline);
   asio::awaitable<void> search_in(std::size_t number, std::string last,
                                   timestamp deadline,
                                   std::shared_ptr<turn_search> search);
-  /// @param key a program, or a tenant.
+  /// @param key a program or a tenant.
   ledger_client &client_of(const std::string &key);
 
   asio::io_context &io_;
--- a/src/records/partitions.hpp
+++ b/src/records/partitions.hpp
@@ -1,5 +1,5 @@
-// Into how many partitions the record group is divided, and which of them keeps
-// a program. Gateways and storage nodes must agree on both.
+// The number of partitions of the record group and the assignment of programs
+// to them. Gateways and storage nodes must agree on both.
 #pragma once
 
 #include "base/ids.hpp"
@@ -13,26 +13,22 @@
 
 namespace heathtrestle::records {
 
-/// Least partitions of a deployment that is to bear the loss of several
-/// machines: one leader's link and processor share do not carry what its
-/// gateways record.
+/// Minimum number of partitions of a deployment that tolerates several losses:
+/// the link and CPU of a single leader do not carry the load of its gateways.
 inline constexpr std::size_t min_partitions_for_multiple_losses = 4;
-/// Writing calls a second of the object store that stand for one partition. No
-/// process is told how many machines there are, but the store's rate is granted
-/// for all of them together: 1,200 where 8 to 12 small storage machines serve
-/// 53 to 79 gateways, which four partitions carry, and 3,200 where 36 serve
-/// 259, which four do not (the leaders' links of 130 Mbit/s are full in a
-/// burst).
+/// One partition per this many write calls per second of the object store. No
+/// process knows the number of machines, but the store's rate is granted for
+/// all of them together and grows with their number.
 inline constexpr std::uint64_t writes_per_partition = 300;
 inline constexpr std::size_t max_partitions = 64;
 
-/// The largest number of losses that the settings take.
+/// Largest number of losses that the settings accept.
 inline constexpr std::uint64_t max_tolerated_losses = 4;
 
-/// @param setting the number that the operator gave; 0 leaves it to the rest.
-/// @param tolerated_losses storage nodes that may be lost at once.
+/// @param setting the configured number of partitions; 0 to derive it.
+/// @param tolerated_losses storage nodes that may be lost at the same time.
 /// @param writes_per_second the object store's rate for the whole system; 0
-/// when it is not known.
+/// when unknown.
 constexpr std::size_t partition_count(std::uint64_t setting,
                                       std::uint64_t tolerated_losses,
                                       std::uint64_t writes_per_second) {
@@ -47,12 +43,12 @@
       min_partitions_for_multiple_losses, max_partitions);
 }
 
-/// The partition that keeps a program's budget and turns.
+/// Returns the partition that keeps a program's budget and turns.
 inline std::size_t partition_of(std::string_view program, std::size_t count) {
   return stable_hash(program) % count;
 }
 
-/// Adds the setting to a program's schema.
+/// Adds the settings for the number of partitions to a process's schema.
 inline void describe_partitions(config::settings_schema &schema,
                                 std::uint64_t &partitions,
                                 std::uint64_t &writes_per_second) {
--- a/src/records/retirement_reports.cpp
+++ b/src/records/retirement_reports.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// A report that did not reach the store is repeated this often: the operator
-/// waits for it, and a store that is down is not asked by every check.
+/// Delay before a report that was not stored is repeated. The operator waits
+/// for it, but a store that is down must not be called on every check.
 constexpr duration_ms repeat_after{1000};
 
 } // namespace
@@ -18,7 +18,7 @@
     return;
   }
   if (known.recorded && !recorded) {
-    known = {}; // withdrawn and made anew under the same name
+    known = {}; // withdrawn and created again under the same name
   }
   known.revision = revision;
   known.recorded = recorded;
@@ -35,7 +35,7 @@
   for (auto &[node, known] : requests_) {
     if (!known.emptied && nodes.contains(node)) {
       known.emptied = true;
-      known.next_try = {}; // told at once, whatever was told a moment ago
+      known.next_try = {}; // reported at once, even just after another report
     }
   }
 }
--- a/src/records/retirement_reports.hpp
+++ b/src/records/retirement_reports.hpp
@@ -1,10 +1,10 @@
-// What the operator is told of machines that are to be emptied: pure, with no
-// clock and no calls of its own.
+// The status reports on nodes that the operator wants to retire. Performs no
+// I/O and reads no clock.
 //
-// A node is emptied once every partition bears its losses without it. From then
-// on its machine may be gone at any moment, so that report is final: it is
-// repeated until the store has it, and never taken back, neither because a
-// partition loses a voter later nor by a reporter that has just begun.
+// A node is emptied once every partition tolerates its losses without it. Its
+// machine may then be removed at any moment, so that this report is final: it
+// is repeated until it is stored and never withdrawn, neither because a
+// partition loses a voter later nor by a new reporter.
 #pragma once
 
 #include "base/time.hpp"
@@ -18,7 +18,7 @@
 
 namespace heathtrestle::records {
 
-/// What is to be written of one machine.
+/// The status to store for one node.
 struct retirement_report {
   std::string node;
   bool completed = false;
@@ -28,22 +28,23 @@
 
 class retirement_reports {
 public:
-  /// The operator wants the node emptied, or its status was read.
-  /// @param revision of the store at the object's last change; what is older
-  /// than what is known changes nothing.
-  /// @param recorded whether the status says completed; nothing for no status.
+  /// Applies a retirement request or its status as read from the store.
+  /// @param revision the store's revision of the object; older revisions than
+  /// the last one are ignored.
+  /// @param recorded whether the status says completed; nothing without a
+  /// status.
   void on_request(const std::string &node, std::uint64_t revision,
                   std::optional<bool> recorded);
   void on_withdrawn(const std::string &node) { requests_.erase(node); }
-  /// All requests that the store has: those not among them are withdrawn.
+  /// Drops the requests that are not among all those in the store.
   void keep_only(const std::set<std::string> &nodes);
-  /// Nodes that hold nothing any more which the others lack.
+  /// Marks nodes that hold nothing that the others lack.
   void on_emptied(const std::set<std::string> &nodes);
 
-  /// Reports that the store lacks. Each counts as tried, and comes again after
-  /// a pause until it is recorded.
+  /// Returns the reports that are not stored yet. Each is returned again after
+  /// a delay until it is recorded.
   std::vector<retirement_report> take_due(timestamp now);
-  /// True while the store is not known to have this, or something later.
+  /// True while neither this report nor a later one is known to be stored.
   [[nodiscard]] bool is_wanted(const retirement_report &report) const;
 
   [[nodiscard]] std::set<std::string> requested() const;
@@ -51,7 +52,7 @@
 private:
   struct request {
     bool emptied = false;
-    /// What the store says, and its revision.
+    /// The stored status and its revision.
     std::optional<bool> recorded;
     std::uint64_t revision = 0;
     timestamp next_try{};
--- a/src/records/retirement_watch.cpp
+++ b/src/records/retirement_watch.cpp
@@ -13,8 +13,7 @@
 
 namespace {
 
-/// How often it is looked whether a machine has been emptied: the operator
-/// waits for it.
+/// Interval at which the emptied nodes are checked.
 constexpr duration_ms check_interval{200};
 
 } // namespace
@@ -25,7 +24,7 @@
     : io_(io), binding_(binding), runtime_(runtime),
       watch_(
           io, *binding.store, {}, cache_,
-          // Only leaders act on them.
+          // Only leaders act on the requests.
           {.kind = binding.retirement_kind,
            .wanted = [this] { return runtime_.leads_any(); }},
           {.on_listing =
@@ -81,8 +80,8 @@
 
 asio::awaitable<void> retirement_watch::report_one(retirement_report due) {
   if (!due.completed) {
-    // The copy of a node that led nothing for a while is old: another leader
-    // may have told the end already.
+    // The cache of a node that led nothing for a while is stale: another leader
+    // may have reported the completion already.
     const auto present =
         co_await binding_.store->get(binding_.retirement_kind, due.node);
     if (!present) {
--- a/src/records/retirement_watch.hpp
+++ b/src/records/retirement_watch.hpp
@@ -1,5 +1,5 @@
-// Follows the operator's requests to empty machines, tells the record group of
-// them, and writes back how far each has come.
+// Watches the operator's requests to retire nodes, passes them to the record
+// group, and writes their progress back to the store.
 #pragma once
 
 #include "objects/object_cache.hpp"
@@ -17,8 +17,7 @@
   retirement_watch(asio::io_context &io, const store_binding &binding,
                    record_runtime &runtime);
 
-  /// Starts following the requests and reporting on them, until the process
-  /// ends.
+  /// Starts watching the requests and reporting on them until the process ends.
   void start();
 
 private:
--- a/src/records/turn_cache.hpp
+++ b/src/records/turn_cache.hpp
@@ -1,5 +1,5 @@
-// Finished turns that this process has seen, the most recently used ones. Turns
-// never change, so a copy is as good as the record.
+// LRU cache of finished turns. Turns never change, so that a cached copy is
+// always valid.
 #pragma once
 
 #include "records/turn_ledger.hpp"
@@ -15,13 +15,13 @@
 
 class turn_cache {
 public:
-  /// @param capacity bytes of inputs and outputs that are kept at most.
+  /// @param capacity maximum total size of inputs and outputs in bytes.
   explicit turn_cache(std::size_t capacity) : capacity_(capacity) {}
 
   void put(retained_turn turn);
 
-  /// The chain that ends with turn `last`, oldest first; nothing unless the
-  /// whole chain is here.
+  /// Returns the chain that ends with turn `last`, oldest first; nothing unless
+  /// the whole chain is cached.
   std::optional<std::vector<const retained_turn *>>
   chain(const std::string &last);
 
--- a/src/records/turn_ledger.hpp
+++ b/src/records/turn_ledger.hpp
@@ -1,6 +1,6 @@
-// What the gateway asks of the record group about the turns of programs: leave
-// to run one within the program's budget, the history that it goes on from, and
-// the durable record of its end.
+// Interface of the record group to the gateway: grants turns within a program's
+// token budget, returns the history that a turn continues, records the end of
+// turns durably, and grants tenants' permits.
 #pragma once
 
 #include "base/ids.hpp"
@@ -16,60 +16,61 @@
 
 namespace heathtrestle::records {
 
-/// Where a turn was answered: the next one of its conversation finds most of
-/// its prompt read there.
+/// The replica that answered a turn. Its prefix cache holds most of the prompt
+/// of the conversation's next turn.
 struct turn_place {
   std::string instance; // empty when it is not known
-  /// Tokens of the conversation that the engine's memory held at its end.
+  /// Tokens of the conversation in the engine's cache at the end of the turn.
   std::uint64_t tokens = 0;
 
   bool operator==(const turn_place &) const = default;
 };
 
-/// A finished turn, as it is kept for the turns that go on from it. Never
-/// changes once it is recorded.
+/// A finished turn, kept for the turns that continue it. Immutable once it is
+/// recorded.
 struct retained_turn {
   std::string id;       // the attempt id of its request
-  std::string previous; // the turn that it went on from; empty for the first
-  std::string input;    // the body that its client sent
-  std::string output;   // the data of its events, a line feed behind each
+  std::string previous; // the turn that it continued; empty for the first
+  std::string input;    // the request body that the client sent
+  std::string output;   // the data of its events, each followed by a line feed
   turn_place place;
 };
 
-/// Asks leave to run a turn.
+/// A request for permission to run a turn.
 struct turn_request {
   std::string program;
-  std::string attempt; // unique for each try of a client
+  std::string attempt; // unique for each attempt of a client
   std::uint64_t budget = 0;
-  /// The most tokens that this turn may generate.
+  /// Maximum number of tokens that this turn may generate.
   std::uint64_t most = 0;
-  /// The turn to go on from; empty for none.
+  /// The turn to continue; empty for none.
   std::string previous;
-  /// Whether the answer brings the turns of the chain, oldest first.
+  /// Whether the reply contains the turns of the chain, oldest first.
   bool want_history = false;
   /// How long the program and its turns are kept after their last use.
   duration_ms keep{0};
-  /// The chain to go on from, oldest first, where the program's partition does
-  /// not keep it; it does from the grant on.
+  /// The chain to continue, oldest first, when the program's partition does not
+  /// hold it. It is recorded there before the grant.
   std::vector<retained_turn> copies{};
 };
 
 enum class turn_verdict : std::uint8_t {
   granted,
   budget_spent,
-  unknown_turn, // no such turn is kept, and that is certain
+  unknown_turn, // it is certain that no such turn is kept
   unavailable,  // no majority of the record group answered in time
 };
 
 struct turn_grant {
   turn_verdict verdict = turn_verdict::unavailable;
-  /// Of an unavailable one: when to come back; zero where nothing is known.
+  /// When to retry after `unavailable`; zero when unknown.
   duration_ms retry_after{0};
-  /// Oldest first, when it was asked for.
+  /// Oldest first; empty unless requested.
   std::vector<retained_turn> history;
-  std::uint64_t spent = 0;    // tokens settled
-  std::uint64_t reserved = 0; // tokens granted and not settled, this turn's too
-  /// Where the turn was answered that this one goes on from.
+  std::uint64_t spent = 0; // tokens settled
+  std::uint64_t reserved =
+      0; // tokens granted and not settled, including this turn's
+  /// The place of the turn that this one continues.
   turn_place previous_place;
 };
 
@@ -83,11 +84,11 @@
   duration_ms keep{0};
 };
 
-/// Asks leave to send one request in a tenant's name.
+/// A request for permission to send one request on a tenant's behalf.
 struct permit_request {
   tenant_id tenant;
   tenants::quota_terms terms;
-  /// The first request of a program.
+  /// True for the first request of a program.
   bool begins_program = false;
 };
 
@@ -95,7 +96,7 @@
   granted,
   /// The tenant has used up what it may send for now.
   used_up,
-  /// Its programs would need more than its quota if all began at once.
+  /// The tenant's programs would exceed its quota if all began at once.
   paced,
   /// No leader answered in time.
   unavailable,
@@ -105,22 +106,22 @@
 
 struct permit_answer {
   permit_verdict verdict = permit_verdict::unavailable;
-  /// Until when a request may be sent with it.
+  /// Expiry of the permit.
   timestamp good_until{};
-  /// Of a refusal: when to come back; zero where nothing is known.
+  /// When to retry after a refusal; zero when unknown.
   duration_ms retry_after{0};
-  /// What the partition decided by: permits in the window, how many there may
-  /// be, and how many of these are the limit.
+  /// The state on which the decision was based: permits counted in the window,
+  /// the maximum number, and the part of the maximum that is the limit.
   std::uint64_t counted = 0;
   std::uint64_t most = 0;
   std::uint64_t limit = 0;
 };
 
-/// Where a node of the record group lies.
+/// The location of a storage node.
 struct storage_place {
   std::string node;
   std::string zone;
-  std::string region; // empty when the node doesn't tell
+  std::string region; // empty when the node does not report it
 
   bool operator==(const storage_place &) const = default;
 };
@@ -132,30 +133,31 @@
   turn_ledger &operator=(const turn_ledger &) = delete;
   virtual ~turn_ledger() = default;
 
-  /// Returns by `deadline`. A grant is durable, and counts as spent in full
-  /// until the turn's end is recorded.
+  /// Requests a turn; returns by `deadline`. A grant is durable and counts as
+  /// spent in full until the turn's end is recorded.
   virtual boost::asio::awaitable<turn_grant> begin(turn_request request,
                                                    timestamp deadline) = 0;
 
   /// Records the end of a turn durably.
-  /// @return false when that could not be confirmed by `deadline`; it goes on
-  /// being tried.
+  /// @return false when that was not confirmed by `deadline`; it is still
+  /// retried.
   virtual boost::asio::awaitable<bool> finish(turn_end end,
                                               timestamp deadline) = 0;
 
-  /// Records the end of a turn some time soon.
+  /// Records the end of a turn in the background.
   virtual void settle(turn_end end) = 0;
 
-  /// Returns by `deadline`. Every request that is sent in the name of a tenant
-  /// with a quota needs a permit of its own.
+  /// Requests a permit; returns by `deadline`. Every request sent on behalf of
+  /// a tenant with a quota needs its own permit.
   virtual boost::asio::awaitable<permit_answer>
   take_permit(permit_request request, timestamp deadline) = 0;
 
-  /// True while this process cannot reach the record group and others can: it
-  /// had better send its clients to them.
+  /// True while this process cannot reach the record group and other gateways
+  /// can, so that its clients should be sent to those.
   [[nodiscard]] virtual bool cut_off() const { return false; }
 
-  /// The nodes known to this process; what is recorded may get to each of them.
+  /// Returns the locations of the known storage nodes; recorded data may be
+  /// stored at each of them.
   [[nodiscard]] virtual std::vector<storage_place> storage_places() const {
     return {};
   }
--- a/tests/records/ledger_client_test.cpp
+++ b/tests/records/ledger_client_test.cpp
@@ -22,7 +22,8 @@
   return members;
 }
 
-/// A leader at one address; all others refuse, or say nothing at all.
+/// A group with a leader at one address. All other nodes refuse requests or do
+/// not answer.
 class fake_group {
 public:
   std::string leader = "leader:1";
@@ -246,8 +247,8 @@
   }
 
   void timeouts_at_dead_nodes_do_not_abandon_the_leader() {
-    // Once some questions had gone to nodes that are gone, each of them led all
-    // others there in turn when its time was over, without an end.
+    // Guards against requests sent to dead nodes: each of their timeouts made
+    // the client abandon a leader that answers.
     group_.others_are_silent = true;
     group_.leader = "other:1"; // not the one that is asked first
     asio::steady_timer timer(io_);
@@ -279,16 +280,9 @@
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{0}, strayed);
   }
 
-  // While a group came back its leaders were asked each question four times and
-  // more, and answered later for it.
-  //
-  // What happens: all answers take longer than the time-out. Each question is
-  // asked again before its answer is there, so that none of the answers tells
-  // how long answers take, and the time-out stays as short as it was. Settled
-  // by `record_call_retried` of one play: 3 to 220 lines a second in the six
-  // seconds before a fault, 579 to 782 in the eight behind it, a fifth of these
-  // with `silent`, while grants took 213 to 460 ms at the median and the
-  // time-out was 250 ms.
+  // Guards against a timeout that stays short while all responses take longer:
+  // every request would be sent several times, and no response time could be
+  // measured (Karn's rule).
   void a_slow_leader_does_not_get_every_request_twice() {
     constexpr std::size_t requests = 10;
     ledger_client client(
@@ -311,7 +305,7 @@
           await_result(io_, client.begin(turn(std::to_string(each)), patient))
               .verdict == turn_verdict::granted);
     }
-    // Whoever is slow is asked again once for each question at the most.
+    // Each request is sent again at most once.
     CPPUNIT_ASSERT_LESSEQUAL(2 * requests, group_.asked_ids.size());
   }
 
@@ -330,7 +324,8 @@
     CPPUNIT_ASSERT_EQUAL(before + 1, group_.asked.size());
   }
 
-  /// No node leads; callers have more patience than the test may take.
+  /// No node leads, and the deadlines of callers are longer than the test may
+  /// take.
   void check_refused_until_back() {
     static constexpr duration_ms patience{5000};
     ledger_client client(
@@ -358,7 +353,7 @@
     CPPUNIT_ASSERT(next.verdict == turn_verdict::unavailable);
     CPPUNIT_ASSERT(next.retry_after > duration_ms{0});
     group_.leader = "leader:1";
-    // Without a question of anybody, a probe finds it.
+    // A probe finds the leader without any request.
     turn_grant back = begin("back");
     const timestamp give_up = steady_now() + patience;
     while (back.verdict != turn_verdict::granted && steady_now() < give_up) {
@@ -379,8 +374,8 @@
   }
 
   void a_reply_to_an_earlier_process_is_ignored() {
-    // A gateway was killed and is back at its address; what the group answers
-    // to the one before must not pass for an answer to this one.
+    // Guards against replies to a killed gateway being accepted by its
+    // successor at the same address.
     group_.leader = "nobody";
     group_.others_are_silent = true;
     begin("of the earlier process", duration_ms{30});
--- a/tests/records/partitioned_ledger_test.cpp
+++ b/tests/records/partitioned_ledger_test.cpp
@@ -33,7 +33,7 @@
   fake_partitions group_{io_};
   std::unique_ptr<partitioned_ledger> ledger_;
 
-  /// A program that partition `number` keeps.
+  /// Returns a program of partition `number`.
   static std::string program_in(std::size_t number, std::size_t count = 0) {
     for (int name = 0;; ++name) {
       const std::string program = "program-" + std::to_string(name);
@@ -43,7 +43,7 @@
     }
   }
 
-  /// @param patience long where an answer comes, so that a busy machine does
+  /// @param patience long when a reply is expected, so that a busy machine does
   /// not change the outcome.
   turn_grant begin(const std::string &program, const std::string &attempt,
                    const std::string &previous,
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("ask one."), grant.history[0].input);
     CPPUNIT_ASSERT_EQUAL(std::string("say two."), grant.history[1].output);
     finish(later, "three", "two");
-    // From here on its own partition knows the whole chain.
+    // The program's own partition now holds the whole chain.
     group_.silent = {0, 1, 2};
     const turn_grant next = begin(later, "four", "three");
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, next.history.size());
@@ -144,7 +144,8 @@
     const std::string program = program_in(1);
     begin(program, "one", "");
     group_.silent = {0, 1, 2, 3};
-    // The patience is longer than the test may take: only the cut ends it.
+    // The deadline is longer than the test may take: only the cut-off ends the
+    // wait.
     asio::co_spawn(io_, cut_off_once_silent(peer_reachability::reachable),
                    asio::detached);
     CPPUNIT_ASSERT(begin(program, "two", "", an_hour).verdict ==
@@ -175,8 +176,8 @@
 private:
   static constexpr duration_ms an_hour{3600000};
 
-  /// Waits until the silence is noticed, and takes in what others say of it.
-  /// If they do not hear the group either, it comes back.
+  /// Waits until the group is unreachable and then applies the report of the
+  /// peers. When they do not reach it either, the group comes back.
   asio::awaitable<void> cut_off_once_silent(peer_reachability reported) {
     asio::steady_timer timer(io_);
     while (ledger_->failure_detector().state() ==
--- a/tests/records/retirement_reports_test.cpp
+++ b/tests/records/retirement_reports_test.cpp
@@ -59,7 +59,7 @@
     reports_.on_request("a", 1, std::nullopt);
     reports_.on_emptied({"a"});
     reports_.on_request("a", 2, true);
-    // Withdrawn and made anew while nobody here listened.
+    // Withdrawn and created again without a notification.
     reports_.on_request("a", 9, std::nullopt);
     CPPUNIT_ASSERT(due() == one(false));
   }
@@ -83,7 +83,8 @@
   }
 
   void progress_that_arrives_late_is_corrected() {
-    // The answer to the first report was lost; it takes effect after the last.
+    // The reply to the first report was lost, and the report takes effect after
+    // the last one.
     reports_.on_request("a", 1, std::nullopt);
     reports_.on_emptied({"a"});
     reports_.on_request("a", 5, true);
--- a/tests/records/turn_of_another_partition_test.cpp
+++ b/tests/records/turn_of_another_partition_test.cpp
@@ -1,17 +1,6 @@
-// After all machines had lost power, programs that went on from an earlier
-// program's turn were refused for 13 seconds, 13 to 15 times each, until they
-// gave up.
-//
-// What happens: a program's partition does not keep the turn that it goes on
-// from, since another program kept it. Its gateway asked for the grant, then
-// the other three partitions one after the other, then had the chain copied,
-// then asked for the grant again: up to six answers in series within 1.16 s. A
-// group that has just come back answers in 0.25 to 0.6 s, so that no try could
-// end well, and each began from the start. Settled by the refusals of one play
-// from the fault on, by where the turn was kept: by a program of another
-// partition 198 of 29 such programs (6.8 each, 13 of the one that was lost), of
-// the same partition 6 of 11 (0.5 each), by the program itself 127 of 139 (0.9
-// each).
+// Guards against continuing a turn of another partition by one request per
+// partition in sequence: the round trips do not fit into the time that a turn
+// waits for its grant while the group recovers.
 #include "records/partitioned_ledger.hpp"
 
 #include "records/partitions.hpp"
@@ -29,8 +18,8 @@
 using test_support::await_result;
 
 constexpr std::size_t partitions = 4;
-/// A turn waits 0.4 of its client's 2.9 s for its grant. While a group comes
-/// back an answer takes up to 0.4 s, so that three fit in one after the other.
+/// Round trips that fit into the time that a turn waits for its grant while the
+/// group recovers.
 constexpr int most_rounds = 3;
 /// Longer than the test takes on any machine.
 constexpr duration_ms an_hour{3600000};
@@ -81,8 +70,8 @@
                                       steady_now() + an_hour));
   }
 
-  /// Answers all that was asked, again and again, until the turn has its
-  /// outcome. @return how often; many when it never comes.
+  /// Answers all queued requests repeatedly until the turn has its outcome.
+  /// @return the number of rounds; a large number when there is no outcome.
   int rounds_until(std::optional<turn_grant> &outcome,
                    asio::awaitable<turn_grant> begun) {
     constexpr int many = 20;
--- a/tests/support/fake_partitions.hpp
+++ b/tests/support/fake_partitions.hpp
@@ -1,5 +1,5 @@
-// A record group for a ledger's tests: its partitions answer from tables of
-// their own, at once or when the test says so.
+// A record group for tests of the ledger clients. Each partition answers from
+// its own record table, at once or on request.
 #pragma once
 
 #include "records/partitioned_ledger.hpp"
@@ -21,9 +21,9 @@
   explicit fake_partitions(asio::io_context &io) : io_(io) {}
 
   records::partitioned_ledger *ledger = nullptr;
-  /// Partitions that say nothing.
+  /// Partitions that do not answer.
   std::set<std::uint32_t> silent;
-  /// Questions wait for `answer_all`.
+  /// Requests are queued until `answer_all` is called.
   bool queues_requests = false;
   std::map<std::uint32_t, int> asked;
 
@@ -36,7 +36,7 @@
     }
   }
 
-  /// @return whether there was any question.
+  /// @return true when any request was queued.
   bool answer_all() {
     const std::vector<wire::Envelope> taken = std::exchange(queued_, {});
     for (const wire::Envelope &each : taken) {
--- a/tests/support/ledger_ticks.hpp
+++ b/tests/support/ledger_ticks.hpp
@@ -1,4 +1,4 @@
-// Drives a ledger client as its process does.
+// Ticks a ledger client as a gateway process does.
 #pragma once
 
 #include "records/ledger_client.hpp"
--- a/tests/support/open_ledger.hpp
+++ b/tests/support/open_ledger.hpp
@@ -1,4 +1,4 @@
-// A record group for tests of the gateway: it grants at once.
+// A fake record group for tests of the gateway, which grants turns at once.
 #pragma once
 
 #include "records/turn_ledger.hpp"
@@ -14,7 +14,8 @@
 
 namespace heathtrestle::test_support {
 
-/// Grants everything, and remembers what was settled and kept.
+/// Grants every turn unless configured otherwise, and records requests and turn
+/// ends.
 class open_ledger : public records::turn_ledger {
 public:
   records::turn_verdict verdict = records::turn_verdict::granted;
@@ -23,7 +24,8 @@
   /// Called before a grant is given.
   std::function<void()> before_grant;
   bool records_ends = true;
-  /// So many first questions are refused since others hold the budget.
+  /// This many first requests are refused because other turns reserve the
+  /// budget.
   int refused_for_reservations = 0;
   std::uint64_t spent = 0;
   int asked = 0;
@@ -32,7 +34,7 @@
 
   [[nodiscard]] bool cut_off() const override { return is_cut_off; }
 
-  /// Where its nodes lie.
+  /// The places of its storage nodes.
   std::vector<records::storage_place> places;
 
   [[nodiscard]] std::vector<records::storage_place>
@@ -92,9 +94,9 @@
                           : asked + tenants::permit_lifetime};
   }
   int permits_asked = 0;
-  /// Nobody answers questions for permits.
+  /// Permit requests get no answer.
   bool no_permits = false;
-  /// So many first permits are void when they come.
+  /// This many first permits have expired when they arrive.
   int void_permits = 0;
 
 private:
