--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -318,7 +318,7 @@
 
 http::page gateway_process::peer_page(std::string_view target) {
   if (target == peer_contact_path) {
-    return ledger_.contact().heard_lately(steady_now())
+    return ledger_.failure_detector().heard_lately(steady_now())
                ? http::page{.body = "heard\n"}
                : http::page{.status = status_unavailable,
                             .body = "not heard\n"};
@@ -411,7 +411,7 @@
   int rounds = is_seed ? rounds_without_store : 0;
   duration_ms pause = initial_lookup_interval;
   while (true) {
-    if (ledger_.is_lost()) {
+    if (ledger_.is_unresponsive()) {
       const bool knew_some = ledger_.members().members_size() > 0;
       co_await look_up_members(knew_some || rounds >= rounds_without_store);
       ++rounds;
@@ -456,9 +456,9 @@
   while (true) {
     timer.expires_after(contact_check);
     co_await timer.async_wait(as_result);
-    ledger_.check_contact();
-    if (ledger_.contact().state() != records::contact_state::in_touch) {
-      ledger_.on_peer_opinion(co_await contacts_.poll());
+    ledger_.check_reachability();
+    if (ledger_.failure_detector().state() != records::group_reachability::reachable) {
+      ledger_.on_peer_reachability(co_await contacts_.poll());
     }
   }
 }
--- a/src/forwarding/peer_contacts.hpp
+++ b/src/forwarding/peer_contacts.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "http/call_client.hpp"
-#include "records/group_contact.hpp"
+#include "records/group_failure_detector.hpp"
 #include "runtime/asio.hpp"
 
 #include <memory>
@@ -25,7 +25,7 @@
                 const std::vector<std::string> &addresses);
 
   /// Polls all peers concurrently. Returns within half a second.
-  asio::awaitable<records::peer_opinion> poll();
+  asio::awaitable<records::peer_reachability> poll();
 
 private:
   struct tally {
--- a/src/records/partitioned_ledger.cpp
+++ b/src/records/partitioned_ledger.cpp
@@ -14,8 +14,7 @@
 
 namespace {
 
-/// While nothing is heard one node is asked so often: some requests on the way
-/// at a time, whatever the way takes.
+/// Interval of the probes while the group is unreachable.
 constexpr duration_ms probe_interval{100};
 
 } // namespace
@@ -29,7 +28,7 @@
     ledger_options own = options;
     own.partition = static_cast<std::uint32_t>(number);
     if (number != 0) {
-      own.loads = {}; // one leader adds them up
+      own.loads = {}; // load reports are summed by the leader of partition 0
     }
     clients_.push_back(std::make_unique<ledger_client>(io, own, send));
   }
@@ -41,7 +40,7 @@
 
 asio::awaitable<turn_grant> partitioned_ledger::begin(turn_request request,
                                                       timestamp deadline) {
-  if (contact_.cut_off()) {
+  if (detector_.cut_off()) {
     co_return turn_grant{};
   }
   const std::size_t home = partition_of(request.program, clients_.size());
@@ -52,7 +51,8 @@
   if (!elsewhere) {
     co_return grant;
   }
-  turn_grant found = co_await find_elsewhere(request.previous, home, deadline);
+  turn_grant found =
+      co_await find_in_other_partitions(request.previous, home, deadline);
   if (found.verdict != turn_verdict::granted) {
     co_return found;
   }
@@ -60,7 +60,8 @@
   const bool wants_history = std::exchange(request.want_history, false);
   grant = co_await client.begin(std::move(request), deadline);
   if (grant.verdict == turn_verdict::unknown_turn) {
-    grant.verdict = turn_verdict::unavailable; // it is kept; its copy got lost
+    grant.verdict = turn_verdict::unavailable; // another partition holds it,
+                                               // but the copy was lost
   }
   if (wants_history && grant.verdict == turn_verdict::granted) {
     grant.history = std::move(found.history);
@@ -68,17 +69,17 @@
   co_return grant;
 }
 
-/// A turn that is looked for in several partitions.
+/// A search for a turn in several partitions.
 struct partitioned_ledger::turn_search {
   explicit turn_search(asio::io_context &io) : over(io) {}
 
-  /// Takes in one partition's answer.
+  /// Handles one partition's reply.
   void on_answer(turn_grant answer) {
     --awaited;
     if (answer.verdict == turn_verdict::granted) {
       found = std::move(answer);
     } else if (answer.verdict != turn_verdict::unknown_turn) {
-      found.verdict = turn_verdict::unavailable; // it may be kept there
+      found.verdict = turn_verdict::unavailable; // this partition may hold it
     }
     if (is_over()) {
       over.cancel();
@@ -90,16 +91,16 @@
 
   std::size_t awaited = 0;
   turn_grant found;
-  /// Cancelled when it is over.
+  /// Cancelled when the search is over.
   asio::steady_timer over;
 };
 
 asio::awaitable<turn_grant>
-partitioned_ledger::find_elsewhere(std::string last, std::size_t home,
-                                   timestamp deadline) {
-  // All are asked at once: one after the other, with the grant before and the
-  // copy behind, six answers have to come in the time of one turn, which a
-  // group that answers in 0.2 s and more cannot give.
+partitioned_ledger::find_in_other_partitions(std::string last, std::size_t home,
+                                             timestamp deadline) {
+  // Search all partitions at once: one after the other, together with the first
+  // grant and the copy, would take up to six round trips, longer than a turn
+  // waits for its grant when the group is slow.
   const auto search = std::make_shared<turn_search>(io_);
   search->found.verdict = turn_verdict::unknown_turn;
   search->awaited = clients_.size() - 1;
@@ -138,7 +139,7 @@
 
 asio::awaitable<permit_answer>
 partitioned_ledger::take_permit(permit_request request, timestamp deadline) {
-  if (contact_.cut_off()) {
+  if (detector_.cut_off()) {
     co_return permit_answer{};
   }
   ledger_client &client = client_of(request.tenant.value());
@@ -150,7 +151,7 @@
   client.settle(std::move(end));
 }
 
-void partitioned_ledger::check_contact() {
+void partitioned_ledger::check_reachability() {
   const timestamp now = steady_now();
   timestamp oldest{};
   for (const auto &client : clients_) {
@@ -159,45 +160,46 @@
         since != timestamp{} && (oldest == timestamp{} || since < oldest);
     oldest = older ? since : oldest;
   }
-  const contact_state before = contact_.state();
-  contact_.check(oldest, now);
-  if (before != contact_.state()) {
+  const group_reachability before = detector_.state();
+  detector_.check(oldest, now);
+  if (before != detector_.state()) {
     logging::line(logging::event::dependency_lost)
         .field("dependency", "record group")
         .field("reason", "no node answers")
         .write();
   }
-  if (contact_.state() != contact_state::in_touch && now >= next_probe_) {
+  if (detector_.state() != group_reachability::reachable &&
+      now >= next_probe_) {
     next_probe_ = now + probe_interval;
     clients_.front()->probe();
   }
 }
 
-void partitioned_ledger::on_peer_opinion(peer_opinion opinion) {
-  const bool was_cut_off = contact_.cut_off();
-  contact_.on_opinion(opinion);
-  if (was_cut_off == contact_.cut_off()) {
+void partitioned_ledger::on_peer_reachability(peer_reachability reported) {
+  const bool was_cut_off = detector_.cut_off();
+  detector_.on_peer_reachability(reported);
+  if (was_cut_off == detector_.cut_off()) {
     return;
   }
   logging::line(logging::event::dependency_lost)
       .field("dependency", "record group")
-      .field("reason", contact_.cut_off() ? "this gateway is cut off"
-                                          : "no gateway hears it")
+      .field("reason", detector_.cut_off() ? "this gateway is cut off"
+                                           : "no gateway hears it")
       .write();
-  if (contact_.cut_off()) {
+  if (detector_.cut_off()) {
     for (const auto &client : clients_) {
-      client->give_up_grants();
+      client->cancel_grants();
     }
   }
 }
 
 void partitioned_ledger::on_message(const wire::Envelope &envelope) {
-  if (contact_.state() != contact_state::in_touch) {
+  if (detector_.state() != group_reachability::reachable) {
     logging::line(logging::event::dependency_regained)
         .field("dependency", "record group")
         .write();
   }
-  contact_.on_heard(steady_now());
+  detector_.on_reply(steady_now());
   const std::size_t number = envelope.record_partition();
   if (number < clients_.size()) {
     clients_[number]->on_message(envelope);
@@ -225,9 +227,10 @@
   return places;
 }
 
-bool partitioned_ledger::is_lost() const {
-  return std::any_of(clients_.begin(), clients_.end(),
-                     [](const auto &client) { return client->is_lost(); });
+bool partitioned_ledger::is_unresponsive() const {
+  return std::any_of(clients_.begin(), clients_.end(), [](const auto &client) {
+    return client->is_unresponsive();
+  });
 }
 
 std::size_t partitioned_ledger::unsettled() const {
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -65,7 +65,7 @@
   self_id_ = {make_node_id(self_.name()), recovered.identity};
   *self_.mutable_replica() = to_wire(self_id_);
   table_.restore(std::move(recovered.snapshot));
-  quota_clock_.follow(table_.quota_time(), now);
+  quota_clock_.synchronize(table_.quota_time(), now);
   log_.emplace(the_partition, self_id_, std::move(recovered.replica),
                options_.raft, now, random);
   learn_members(recovered.members);
@@ -167,7 +167,7 @@
     const auto outcomes = table_.apply(entry.command().record_batch());
     const bool own = log_->is_leader() && applied_term_ == log_->term();
     if (!own) {
-      quota_clock_.follow(table_.quota_time(), now);
+      quota_clock_.synchronize(table_.quota_time(), now);
     }
     send_outcomes(entry.index(), outcomes, now, effects);
   }
@@ -267,10 +267,10 @@
     return;
   }
   if (request.has_loads()) {
-    loads_.tell(request.reply_to(), request.loads(), now);
+    loads_.update(request.reply_to(), request.loads(), now);
     pending_load_replies_.insert(request.reply_to());
   }
-  if (request.items().empty() && log_->in_contact(now)) {
+  if (request.items().empty() && log_->has_recent_quorum(now)) {
     answer_probe(request);
   } else if (request.items().empty()) {
     refuse(request, now); // without a majority nothing can be committed
@@ -286,11 +286,11 @@
       continue;
     }
     if (item.change().has_take_permit()) {
-      permits_.ask({.reply_to = request.reply_to(),
+      permits_.request_permit({.reply_to = request.reply_to(),
                     .id = item.id(),
                     .members_hash = request.members_hash(),
                     .wanted = item.change().take_permit()},
-                   quota_clock_.read(now), now);
+                   quota_clock_.time_at(now), now);
       continue;
     }
     if (auto known = table_.decided_outcome(item.change())) {
@@ -386,7 +386,7 @@
     if (newer) {
       installed_ = receiver_.take();
       table_.restore(*installed_);
-      quota_clock_.follow(table_.quota_time(), now);
+      quota_clock_.synchronize(table_.quota_time(), now);
       log_event(logging::event::record_snapshot_installed,
                 fmt::format("index {}", part.last_index()));
     }
@@ -449,7 +449,7 @@
   wire::RecordBatch &batch = *command.mutable_record_batch();
   batch.set_time_ms(wall_ms);
   if (has_current_quotas()) {
-    batch.set_quota_time_ms(quota_clock_.read(now));
+    batch.set_quota_time_ms(quota_clock_.time_at(now));
   }
   std::vector<request_origin> origins;
   for (auto &[origin, change] : proposals_) {
@@ -474,7 +474,7 @@
   if (permits_term_ != log_->term()) {
     clear_permit_requests(now); // re-elected before the loss was noticed
   }
-  for (wire::ReserveQuota &wanted : permits_.due(now)) {
+  for (wire::ReserveQuota &wanted : permits_.take_reservations(now)) {
     wire::RecordChange change;
     *change.mutable_reserve_quota() = std::move(wanted);
     proposals_.emplace_back(request_origin{}, std::move(change));
@@ -483,7 +483,7 @@
 
 void record_node::clear_permit_requests(timestamp now) {
   permits_term_ = log_->term();
-  for (const permit_question &each : permits_.clear()) {
+  for (const gateway_permit_request &each : permits_.clear()) {
     pending_requests_.erase(request_hash(each.reply_to, each.id));
     wire::RecordRequest refused;
     refused.set_reply_to(each.reply_to);
@@ -501,14 +501,14 @@
 void record_node::send_permits(timestamp now, record_effects &effects) {
   std::map<std::string, std::pair<wire::RecordReply, std::uint64_t>> replies;
   for (permit_reply &each : permits_.take_replies()) {
-    auto &[reply, known_members] = replies[each.question.reply_to];
-    known_members = each.question.members_hash;
+    auto &[reply, known_members] = replies[each.request.reply_to];
+    known_members = each.request.members_hash;
     wire::RecordReplyItem &item = *reply.add_items();
-    item.set_id(each.question.id);
+    item.set_id(each.request.id);
     item.set_verdict(wire::RECORD_DONE);
     *item.mutable_permit() = std::move(each.answer);
     pending_requests_.erase(
-        request_hash(each.question.reply_to, each.question.id));
+        request_hash(each.request.reply_to, each.request.id));
   }
   for (auto &[address, entry] : replies) {
     add_common_fields(entry.first, address, entry.second, now);
@@ -531,7 +531,7 @@
     *reply.mutable_members() = known;
   }
   if (pending_load_replies_.erase(address) > 0) {
-    *reply.mutable_loads() = loads_.others(address, now);
+    *reply.mutable_loads() = loads_.loads_of_others(address, now);
   }
 }
 
@@ -575,7 +575,7 @@
     if (outcomes.at(place).has_reserved_quota()) {
       if (applied_term_ == permits_term_) {
         permits_.on_reserved(outcomes.at(place).reserved_quota(),
-                             quota_clock_.read(now), now);
+                             quota_clock_.time_at(now), now);
       }
       continue;
     }
@@ -780,12 +780,12 @@
   // several times as long as one from each leader.
   const timestamp settled = leading_since_ + options_.transfer_delay +
                             transfer_timeout + options_.raft.heartbeat_interval;
-  return options_.partitions > 1 && !log_->was_handed_the_lead() &&
+  return options_.partitions > 1 && !log_->elected_by_transfer() &&
          now < settled && preferred_voter(now) != self_id_;
 }
 
 void record_node::transfer_to_preferred_voter(timestamp now) {
-  const duration_ms kept = log_->was_handed_the_lead()
+  const duration_ms kept = log_->elected_by_transfer()
                                ? options_.keep_received_leadership
                                : options_.transfer_delay;
   const bool due = options_.partitions > 1 && log_->established() &&
--- a/src/records/record_node.hpp
+++ b/src/records/record_node.hpp
@@ -13,9 +13,9 @@
 #include "base/time.hpp"
 #include "logging/event_catalogue.hpp"
 #include "raft/consensus.hpp"
-#include "records/load_board.hpp"
+#include "records/load_reports.hpp"
 #include "records/membership_plan.hpp"
-#include "records/permit_desk.hpp"
+#include "records/permit_allocator.hpp"
 #include "records/quota_clock.hpp"
 #include "records/record_table.hpp"
 #include "records/snapshot_transfer.hpp"
@@ -38,16 +38,16 @@
                      .election_timeout = duration_ms{350},
                      .restart_election_timeout = duration_ms{150},
                      .retained_entries = 512,
-                     .held_entries = 2048,
+                     .lagging_peer_entries = 2048,
                      .retained_bytes = std::size_t{2} << 20U,
-                     .held_bytes = std::size_t{8} << 20U,
+                     .lagging_peer_bytes = std::size_t{8} << 20U,
                      .entries_per_append = 64,
                      .bytes_per_append = 96U << 10U,
-                     .backlog_entries = 64,
-                     .silence_limit = duration_ms{700},
+                     .backlog_threshold = 64,
+                     .silent_peer_timeout = duration_ms{700},
                      .probe_interval = duration_ms{50},
                      .resend_after = duration_ms{600},
-                     .unacknowledged_entries = 256};
+                     .max_inflight_entries = 256};
   /// Maximum number of committed entries applied in one step. It keeps a
   /// restarted node responsive while it applies its whole log.
   std::size_t entries_per_step = 64;
@@ -289,8 +289,8 @@
   bool members_changed_ = false;
   std::set<std::string> retiring_;
   wire::SeenRevisions seen_;
-  load_board loads_;
-  permit_desk permits_;
+  load_reports loads_;
+  permit_allocator permits_;
   /// The term for which `permits_` is valid.
   term_id permits_term_{};
   quota_clock quota_clock_;
--- a/src/records/retirement_watch.cpp
+++ b/src/records/retirement_watch.cpp
@@ -13,8 +13,7 @@
 
 namespace {
 
-/// How often it is looked whether a machine has been emptied: the operator
-/// waits for it.
+/// Interval at which the emptied nodes are checked.
 constexpr duration_ms check_interval{200};
 
 } // namespace
@@ -25,7 +24,7 @@
     : io_(io), binding_(binding), runtime_(runtime),
       watch_(
           io, *binding.store, {}, cache_,
-          // Only leaders act on them.
+          // Only leaders act on the requests.
           {.kind = binding.retirement_kind,
            .enabled = [this] { return runtime_.leads_any(); }},
           {.on_listing =
@@ -40,7 +39,7 @@
   asio::co_spawn(io_, report(), asio::detached);
 }
 
-void retirement_watch::take_in(const objects::object &request) {
+void retirement_watch::apply_request(const objects::object &request) {
   reports_.on_request(request.name, request.revision,
                       binding_.retirement_completed(request.status));
 }
@@ -49,7 +48,7 @@
   std::set<std::string> names;
   for (const objects::object &each : listed.items) {
     names.insert(each.name);
-    take_in(each);
+    apply_request(each);
   }
   reports_.keep_only(names);
   runtime_.set_retiring(reports_.requested());
@@ -59,7 +58,7 @@
   if (changed.deleted) {
     reports_.on_withdrawn(changed.changed.name);
   } else {
-    take_in(changed.changed);
+    apply_request(changed.changed);
   }
   runtime_.set_retiring(reports_.requested());
 }
@@ -81,14 +80,14 @@
 
 asio::awaitable<void> retirement_watch::report_one(retirement_report due) {
   if (!due.completed) {
-    // The copy of a node that led nothing for a while is old: another leader
-    // may have told the end already.
+    // The cache of a node that led nothing for a while is stale: another leader
+    // may have reported the completion already.
     const auto present =
         co_await binding_.store->get(binding_.retirement_kind, due.node);
     if (!present) {
       co_return; // tried again after a pause
     }
-    take_in(present.value());
+    apply_request(present.value());
   }
   if (!reports_.is_wanted(due)) {
     co_return;
--- a/tests/records/partitioned_ledger_test.cpp
+++ b/tests/records/partitioned_ledger_test.cpp
@@ -23,17 +23,17 @@
   CPPUNIT_TEST(each_program_has_one_partition);
   CPPUNIT_TEST(a_chain_of_another_partition_is_copied_over);
   CPPUNIT_TEST(a_turn_that_no_partition_knows_is_unknown);
-  CPPUNIT_TEST(a_silent_partition_may_know_the_turn);
+  CPPUNIT_TEST(a_silent_partition_may_hold_the_turn);
   CPPUNIT_TEST(a_gateway_that_is_cut_off_grants_nothing_until_it_is_back);
-  CPPUNIT_TEST(a_group_that_is_down_for_all_is_waited_for);
-  CPPUNIT_TEST(it_tells_where_the_storage_nodes_lie);
+  CPPUNIT_TEST(a_group_that_is_down_for_all_is_not_a_cut_off);
+  CPPUNIT_TEST(it_reports_the_places_of_the_storage_nodes);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
   fake_partitions group_{io_};
   std::unique_ptr<partitioned_ledger> ledger_;
 
-  /// A program that partition `number` keeps.
+  /// Returns a program of partition `number`.
   static std::string program_in(std::size_t number, std::size_t count = 0) {
     for (int name = 0;; ++name) {
       const std::string program = "program-" + std::to_string(name);
@@ -43,7 +43,7 @@
     }
   }
 
-  /// @param patience long where an answer comes, so that a busy machine does
+  /// @param patience long when a reply is expected, so that a busy machine does
   /// not change the outcome.
   turn_grant begin(const std::string &program, const std::string &attempt,
                    const std::string &previous,
@@ -89,10 +89,12 @@
   void the_number_of_partitions_follows_the_settings() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, partition_count(0, 0, 0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, partition_count(0, 1, 5000));
-    CPPUNIT_ASSERT_EQUAL(partitions_when_large, partition_count(0, 2, 0));
-    CPPUNIT_ASSERT_EQUAL(partitions_when_large, partition_count(0, 2, 400));
+    CPPUNIT_ASSERT_EQUAL(min_partitions_for_multiple_losses,
+                         partition_count(0, 2, 0));
+    CPPUNIT_ASSERT_EQUAL(min_partitions_for_multiple_losses,
+                         partition_count(0, 2, 400));
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, partition_count(0, 2, 3200));
-    CPPUNIT_ASSERT_EQUAL(most_partitions, partition_count(0, 2, 1000000));
+    CPPUNIT_ASSERT_EQUAL(max_partitions, partition_count(0, 2, 1000000));
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, partition_count(7, 1, 3200));
   }
 
@@ -119,7 +121,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("ask one."), grant.history[0].input);
     CPPUNIT_ASSERT_EQUAL(std::string("say two."), grant.history[1].output);
     finish(later, "three", "two");
-    // From here on its own partition knows the whole chain.
+    // The program's own partition now holds the whole chain.
     group_.silent = {0, 1, 2};
     const turn_grant next = begin(later, "four", "three");
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, next.history.size());
@@ -131,7 +133,7 @@
     CPPUNIT_ASSERT_EQUAL(partitions, group_.asked.size());
   }
 
-  void a_silent_partition_may_know_the_turn() {
+  void a_silent_partition_may_hold_the_turn() {
     group_.silent = {2};
     const turn_grant grant =
         begin(program_in(1), "one", "never was", duration_ms{300});
@@ -142,8 +144,9 @@
     const std::string program = program_in(1);
     begin(program, "one", "");
     group_.silent = {0, 1, 2, 3};
-    // The patience is longer than the test may take: only the cut ends it.
-    asio::co_spawn(io_, cut_off_once_silent(peer_opinion::heard),
+    // The deadline is longer than the test may take: only the cut-off ends the
+    // wait.
+    asio::co_spawn(io_, cut_off_once_silent(peer_reachability::reachable),
                    asio::detached);
     CPPUNIT_ASSERT(begin(program, "two", "", an_hour).verdict ==
                    turn_verdict::unavailable);
@@ -154,16 +157,16 @@
     CPPUNIT_ASSERT_EQUAL(asked, group_.asked[1]);
     group_.silent.clear();
     while (ledger_->cut_off()) { // a probe restores contact
-      ledger_->check_contact();
+      ledger_->check_reachability();
       io_.restart();
       io_.run_one_for(duration_ms{20});
     }
     CPPUNIT_ASSERT(begin(program, "four", "").verdict == turn_verdict::granted);
   }
 
-  void a_group_that_is_down_for_all_is_waited_for() {
+  void a_group_that_is_down_for_all_is_not_a_cut_off() {
     group_.silent = {0, 1, 2, 3};
-    asio::co_spawn(io_, cut_off_once_silent(peer_opinion::unheard),
+    asio::co_spawn(io_, cut_off_once_silent(peer_reachability::unreachable),
                    asio::detached);
     asio::co_spawn(io_, ledger_->run(), asio::detached);
     CPPUNIT_ASSERT(begin(program_in(1), "one", "", an_hour).verdict ==
@@ -173,22 +176,23 @@
 private:
   static constexpr duration_ms an_hour{3600000};
 
-  /// Waits until the silence is noticed, and takes in what others say of it.
-  /// If they do not hear the group either, it comes back.
-  asio::awaitable<void> cut_off_once_silent(peer_opinion opinion) {
+  /// Waits until the group is unreachable and then applies the report of the
+  /// peers. When they do not reach it either, the group comes back.
+  asio::awaitable<void> cut_off_once_silent(peer_reachability reported) {
     asio::steady_timer timer(io_);
-    while (ledger_->contact().state() == contact_state::in_touch) {
+    while (ledger_->failure_detector().state() ==
+           group_reachability::reachable) {
       timer.expires_after(duration_ms{20});
       co_await timer.async_wait(as_result);
-      ledger_->check_contact();
+      ledger_->check_reachability();
     }
-    ledger_->on_peer_opinion(opinion);
-    if (opinion != peer_opinion::heard) {
+    ledger_->on_peer_reachability(reported);
+    if (reported != peer_reachability::reachable) {
       group_.silent.clear();
     }
   }
 
-  void it_tells_where_the_storage_nodes_lie() {
+  void it_reports_the_places_of_the_storage_nodes() {
     wire::RecordMembers members;
     wire::RecordMember &far = *members.add_members();
     far.mutable_replica()->set_node(7);
--- a/tests/records/permit_desk_test.cpp
+++ b/tests/records/permit_allocator_test.cpp
@@ -1,5 +1,5 @@
-// Programs of a tenant at many gateways: which may begin, and which of those
-// are refused in their midst.
+// Programs of a tenant at many gateways: quota limits hold, and few running
+// programs are refused.
 #include "support/quota_fleet.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,11 +9,11 @@
 namespace heathtrestle::records {
 namespace {
 
+using test_support::quota_faults;
 using test_support::quota_fleet;
-using test_support::quota_troubles;
 
-/// What the operator grants at the very most in one window.
-double bound(const tenants::request_quota &quota) {
+/// The maximum number of permits within one window.
+double permit_bound(const tenants::request_quota &quota) {
   constexpr double overshoot = 1.1;
   constexpr double slack = 20;
   const double seconds =
@@ -23,20 +23,20 @@
 
 constexpr tenants::request_quota large{.rate_per_second = 160, .burst = 160};
 
-class permit_desk_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(permit_desk_test);
+class permit_allocator_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(permit_allocator_test);
   CPPUNIT_TEST(below_its_limit_a_tenant_is_never_refused);
   CPPUNIT_TEST(a_hot_tenant_stays_within_the_bound);
   CPPUNIT_TEST(a_small_hot_tenant_stays_within_the_bound);
   CPPUNIT_TEST(over_the_limit_whole_programs_are_served);
   CPPUNIT_TEST(a_lower_limit_holds_within_a_window);
-  CPPUNIT_TEST(a_higher_limit_helps_at_once);
-  CPPUNIT_TEST(gateways_that_reach_nobody_send_nothing);
-  CPPUNIT_TEST(gateways_that_restart_refuse_nobody_below_the_limit);
-  CPPUNIT_TEST(a_fleet_that_restarts_stays_within_the_bound);
+  CPPUNIT_TEST(a_higher_limit_applies_at_once);
+  CPPUNIT_TEST(cut_off_gateways_send_nothing);
+  CPPUNIT_TEST(restarting_gateways_refuse_nothing_below_the_limit);
+  CPPUNIT_TEST(a_restarted_fleet_stays_within_the_bound);
   CPPUNIT_TEST(a_lower_limit_does_not_refuse_everything_at_first);
-  CPPUNIT_TEST(a_refusal_tells_when_to_come_back);
-  CPPUNIT_TEST(most_permits_wait_for_no_commit);
+  CPPUNIT_TEST(a_refusal_carries_the_retry_time);
+  CPPUNIT_TEST(most_permits_are_granted_without_a_commit);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t gateways = 57;
@@ -54,7 +54,8 @@
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{8000}, 100, length);
     all.run_programs(duration_ms{12000}, 750, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(large));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(large));
   }
 
   void a_small_hot_tenant_stays_within_the_bound() {
@@ -62,13 +63,14 @@
     quota_fleet all(gateways, small, 11);
     all.run_programs(duration_ms{8000}, 5, length);
     all.run_programs(duration_ms{12000}, 37, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(small));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(small));
   }
 
   void over_the_limit_whole_programs_are_served() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{5000}, 100, length);
-    // What was begun before the demand rose, and at once when it did.
+    // Programs begun before the demand rose, and just after it did.
     all.run_programs(duration_ms{5000}, 500, length);
     CPPUNIT_ASSERT_MESSAGE(
         fmt::format("{} begun, {} failed", all.begun, all.failed),
@@ -76,10 +78,10 @@
     const int begun = all.begun;
     const int failed = all.failed;
     all.run_programs(duration_ms{15000}, 500, length);
-    // A program that fails midway has used its tenant's quota for nothing.
+    // A program that fails midway has wasted its tenant's quota.
     CPPUNIT_ASSERT((all.failed - failed) * 10 < all.begun - begun);
     CPPUNIT_ASSERT(all.refused > 0);
-    // And the quota is not left unused.
+    // The quota is not left unused.
     const double served = all.begun - begun - (all.failed - failed);
     CPPUNIT_ASSERT(served * length > 160.0 * 15 * 0.8);
   }
@@ -89,28 +91,28 @@
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{10000}, 100, length);
     all.change_quota(lower);
-    all.tell_configuration();
+    all.deliver_configuration();
     all.run_programs(quota_fleet::window + duration_ms{100}, 100, length);
     CPPUNIT_ASSERT(all.most_in_window() > 0);
-    const timestamp binds = all.now();
+    const timestamp in_force = all.now();
     all.run_programs(duration_ms{10000}, 100, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window(binds)) <=
-                   bound(lower));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window(in_force)) <=
+                   permit_bound(lower));
   }
 
-  void a_higher_limit_helps_at_once() {
+  void a_higher_limit_applies_at_once() {
     quota_fleet all(gateways, {.rate_per_second = 30, .burst = 30}, 11);
     all.run_programs(duration_ms{10000}, 100, length);
     CPPUNIT_ASSERT(all.refused > 0);
     all.change_quota({.rate_per_second = 300, .burst = 300});
-    all.tell_configuration();
+    all.deliver_configuration();
     all.run_programs(duration_ms{200}, 100, length);
     const int before = all.refused;
     all.run_programs(duration_ms{5000}, 100, length);
     CPPUNIT_ASSERT_EQUAL(before, all.refused);
   }
 
-  void gateways_that_reach_nobody_send_nothing() {
+  void cut_off_gateways_send_nothing() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{8000}, 300, length);
     all.cut_off(gateways);
@@ -118,10 +120,11 @@
     const std::size_t before = all.sent();
     all.run_programs(duration_ms{8000}, 300, length);
     CPPUNIT_ASSERT_EQUAL(before, all.sent());
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(large));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(large));
   }
 
-  void gateways_that_restart_refuse_nobody_below_the_limit() {
+  void restarting_gateways_refuse_nothing_below_the_limit() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{8000}, 100, length);
     for (std::size_t number = 0; number < gateways; ++number) {
@@ -131,7 +134,7 @@
     CPPUNIT_ASSERT_EQUAL(0, all.refused + all.failed);
   }
 
-  void a_fleet_that_restarts_stays_within_the_bound() {
+  void a_restarted_fleet_stays_within_the_bound() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{10000}, 400, length);
     for (std::size_t number = 0; number < gateways; ++number) {
@@ -139,24 +142,25 @@
     }
     all.change_leader();
     all.run_programs(duration_ms{10000}, 400, length);
-    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <= bound(large));
+    CPPUNIT_ASSERT(static_cast<double>(all.most_in_window()) <=
+                   permit_bound(large));
   }
 
   void a_lower_limit_does_not_refuse_everything_at_first() {
     quota_fleet all(gateways, large, 11);
     all.run_programs(duration_ms{10000}, 100, length);
     all.change_quota({.rate_per_second = 60, .burst = 60});
-    all.tell_configuration();
+    all.deliver_configuration();
     const int before = all.begun;
     const int failed = all.failed;
     all.run_programs(quota_fleet::window / 2, 100, length);
-    // Three fifths of the demand may go on.
+    // Three fifths of the demand are within the quota.
     const double usual = 100.0 / length * 2.5;
     CPPUNIT_ASSERT(all.begun - before > usual * 0.4);
     CPPUNIT_ASSERT((all.failed - failed) * 4 < all.begun - before);
   }
 
-  void a_refusal_tells_when_to_come_back() {
+  void a_refusal_carries_the_retry_time() {
     tenants::quota_account account;
     const tenants::quota_terms terms{.version = 1,
                                      .millirequests_per_second = 1000,
@@ -175,9 +179,10 @@
         account.reserve({.terms = terms, .wanted = 1}, later).granted == 1);
   }
 
-  /// A tenant in steady use is given permits out of what was reserved ahead.
-  void most_permits_wait_for_no_commit() {
-    permit_desk desk;
+  /// A tenant with steady requests gets permits from the headroom, without
+  /// waiting for a commit.
+  void most_permits_are_granted_without_a_commit() {
+    permit_allocator allocator;
     tenants::quota_account account;
     timestamp now = timestamp_from(1000);
     int at_once = 0;
@@ -185,26 +190,27 @@
     for (int number = 0; number < asked; ++number) {
       now += duration_ms{20};
       const auto time = milliseconds_of(now);
-      permit_question question{.reply_to = "gateway",
-                               .id = static_cast<std::uint64_t>(number)};
-      question.wanted.set_tenant("a");
-      wire::QuotaTerms &terms = *question.wanted.mutable_terms();
+      gateway_permit_request request{.reply_to = "gateway",
+                                     .id = static_cast<std::uint64_t>(number)};
+      request.wanted.set_tenant("a");
+      wire::QuotaTerms &terms = *request.wanted.mutable_terms();
       terms.set_version(1);
       terms.set_millirequests_per_second(100000);
       terms.set_window_ms(5000);
-      desk.ask(std::move(question), time, now);
-      at_once += desk.take_replies().empty() ? 0 : 1;
-      for (const wire::ReserveQuota &wanted : desk.due(now)) {
+      allocator.request_permit(std::move(request), time, now);
+      at_once += allocator.take_replies().empty() ? 0 : 1;
+      for (const wire::ReserveQuota &wanted :
+           allocator.take_reservations(now)) {
         const auto made = account.reserve(from_wire(wanted), time);
-        desk.on_reserved(to_wire(made, "a"), time, now);
+        allocator.on_reserved(to_wire(made, "a"), time, now);
       }
-      desk.take_replies();
+      allocator.take_replies();
     }
     CPPUNIT_ASSERT(at_once > asked * 9 / 10);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(permit_desk_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(permit_allocator_test);
 
 } // namespace
 } // namespace heathtrestle::records
--- a/tests/records/turn_of_another_partition_test.cpp
+++ b/tests/records/turn_of_another_partition_test.cpp
@@ -1,17 +1,6 @@
-// After all machines had lost power, programs that went on from an earlier
-// program's turn were refused for 13 seconds, 13 to 15 times each, until they
-// gave up.
-//
-// What happens: a program's partition does not keep the turn that it goes on
-// from, since another program kept it. Its gateway asked for the grant, then
-// the other three partitions one after the other, then had the chain copied,
-// then asked for the grant again: up to six answers in series within 1.16 s. A
-// group that has just come back answers in 0.25 to 0.6 s, so that no try could
-// end well, and each began from the start. Settled by the refusals of one play
-// from the fault on, by where the turn was kept: by a program of another
-// partition 198 of 29 such programs (6.8 each, 13 of the one that was lost), of
-// the same partition 6 of 11 (0.5 each), by the program itself 127 of 139 (0.9
-// each).
+// Guards against continuing a turn of another partition by one request per
+// partition in sequence: the round trips do not fit into the time that a turn
+// waits for its grant while the group recovers.
 #include "records/partitioned_ledger.hpp"
 
 #include "records/partitions.hpp"
@@ -29,17 +18,17 @@
 using test_support::await_result;
 
 constexpr std::size_t partitions = 4;
-/// A turn waits 0.4 of its client's 2.9 s for its grant. While a group comes
-/// back an answer takes up to 0.4 s, so that three fit in one after the other.
+/// Round trips that fit into the time that a turn waits for its grant while the
+/// group recovers.
 constexpr int most_rounds = 3;
 /// Longer than the test takes on any machine.
 constexpr duration_ms an_hour{3600000};
 
 class turn_of_another_partition_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(turn_of_another_partition_test);
-  CPPUNIT_TEST(it_is_gone_on_from_within_three_answers);
-  CPPUNIT_TEST(a_silent_partition_does_not_hide_it);
-  CPPUNIT_TEST(a_turn_that_nobody_kept_is_unknown);
+  CPPUNIT_TEST(a_turn_of_any_partition_is_continued_within_three_rounds);
+  CPPUNIT_TEST(a_silent_partition_does_not_block_the_search);
+  CPPUNIT_TEST(a_turn_that_no_partition_holds_is_unknown);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context io_;
@@ -81,12 +70,12 @@
                                       steady_now() + an_hour));
   }
 
-  /// Answers all that was asked, again and again, until the turn has its
-  /// outcome. @return how often; many when it never comes.
+  /// Answers all queued requests repeatedly until the turn has its outcome.
+  /// @return the number of rounds; a large number when there is no outcome.
   int rounds_until(std::optional<turn_grant> &outcome,
                    asio::awaitable<turn_grant> begun) {
     constexpr int many = 20;
-    group_.holds = true;
+    group_.queues_requests = true;
     asio::co_spawn(
         io_,
         [&outcome, &begun]() -> asio::awaitable<void> {
@@ -119,10 +108,10 @@
     ledger_->learn_members(members);
   }
 
-  void it_is_gone_on_from_within_three_answers() {
+  void a_turn_of_any_partition_is_continued_within_three_rounds() {
     for (std::size_t home = 0; home < partitions; ++home) {
       for (std::size_t keeper = 0; keeper < partitions; ++keeper) {
-        group_.holds = false;
+        group_.queues_requests = false;
         const std::string id =
             "kept " + std::to_string(home * partitions + keeper);
         keep_turn(keeper, id);
@@ -137,7 +126,7 @@
     }
   }
 
-  void a_silent_partition_does_not_hide_it() {
+  void a_silent_partition_does_not_block_the_search() {
     keep_turn(3, "kept");
     group_.silent = {1};
     std::optional<turn_grant> grant;
@@ -145,7 +134,7 @@
     CPPUNIT_ASSERT(grant && grant->verdict == turn_verdict::granted);
   }
 
-  void a_turn_that_nobody_kept_is_unknown() {
+  void a_turn_that_no_partition_holds_is_unknown() {
     std::optional<turn_grant> grant;
     rounds_until(grant, begin(0, "next", "never was"));
     CPPUNIT_ASSERT(grant && grant->verdict == turn_verdict::unknown_turn);
--- a/tests/support/quota_fleet.hpp
+++ b/tests/support/quota_fleet.hpp
@@ -1,10 +1,10 @@
-// The requests of one tenant at many gateways, and the partition that keeps its
-// account, without I/O: which requests are sent, and how many in the worst
-// window. Messages may be late or lost, gateways cut off or started anew, and
-// leaders replaced that don't know it yet.
+// Simulates the requests of one tenant at many gateways and the partition that
+// keeps its quota account, without I/O. Records which requests are sent and the
+// maximum in any window. Messages may be delayed or lost, gateways cut off or
+// restarted, and leaders replaced without noticing it.
 #pragma once
 
-#include "records/permit_desk.hpp"
+#include "records/permit_allocator.hpp"
 #include "records/quota_clock.hpp"
 #include "records/quota_messages.hpp"
 #include "tenants/quota_account.hpp"
@@ -22,29 +22,29 @@
 
 namespace heathtrestle::test_support {
 
-/// What goes wrong on the way, and how often.
-struct quota_troubles {
-  duration_ms longest_way{3};     // of a message, one way
-  duration_ms longest_commit{20}; // until the leader hears of it
-  duration_ms longest_wait{0};    // of a request that has a permit
-  double lost = 0;                // share of messages
-  double misled = 0;              // share of questions to any node
+/// Delays, and probabilities of faults.
+struct quota_faults {
+  duration_ms max_message_delay{3}; // one way
+  duration_ms max_commit_delay{20}; // until the proposer learns of it
+  duration_ms max_send_delay{0};    // of a request with a permit
+  double lost = 0;                  // share of messages lost
+  double misdirected = 0;           // share of requests sent to a random node
 };
 
 class quota_fleet {
 public:
   quota_fleet(std::size_t gateways, tenants::request_quota quota, unsigned seed,
-              quota_troubles troubles = {}, std::size_t nodes = 3)
-      : random_(seed), troubles_(troubles), cut_off_(gateways, false),
+              quota_faults faults = {}, std::size_t nodes = 3)
+      : random_(seed), faults_(faults), cut_off_(gateways, false),
         started_(gateways, 0), version_(gateways, 1), nodes_(nodes) {
     terms_[1] = terms_of(quota, 1);
     for (node &each : nodes_) {
-      each.clock.follow(0, now_);
+      each.clock.synchronize(0, now_);
     }
     change_leader();
   }
 
-  /// Requests that begin no program, at gateways drawn at random.
+  /// Sends requests that begin no program, at random gateways.
   void run(duration_ms length, double per_second) {
     const timestamp end = now_ + length;
     for (; now_ < end; now_ += step) {
@@ -56,9 +56,9 @@
     }
   }
 
-  /// The same of programs: `length` requests each, a quarter of a second apart,
-  /// half of them at an eighth of the gateways.
-  /// @param per_second requests that the programs begun in a second make.
+  /// Runs programs of `length` requests each, 250 ms apart, half of them at an
+  /// eighth of the gateways.
+  /// @param per_second total rate of the requests of the programs begun.
   void run_programs(duration_ms span, double per_second, int length) {
     const timestamp end = now_ + span;
     for (; now_ < end; now_ += step) {
@@ -74,51 +74,52 @@
     }
   }
 
-  /// The first so many gateways reach no node.
+  /// Cuts the first `count` gateways off from all nodes.
   void cut_off(std::size_t count) {
     std::fill_n(cut_off_.begin(), count, true);
   }
   void heal() { std::fill(cut_off_.begin(), cut_off_.end(), false); }
-  /// The gateway's process begins anew: what it had asked for is forgotten.
+  /// Restarts a gateway's process, which loses its pending requests.
   void restart(std::size_t gateway) { ++started_[gateway]; }
-  /// All other nodes know of the new leader; the old one does not, and gives
-  /// what it has to those that still ask it.
+  /// Replaces the leader. The old one does not notice it and still serves the
+  /// gateways that send it requests.
   void change_leader() {
     leader_ = (leader_ + 1) % nodes_.size();
     ++term_;
     node &next = nodes_[leader_];
-    next.desk.clear();
+    next.allocator.clear();
     next.term = term_;
-    // Of what was on its way some was recorded, and its proposer never hears.
+    // A random part of the proposals in flight is recorded, and the proposer
+    // does not learn of it.
     const std::size_t recorded = random_() % (commits_.size() + 1);
     for (std::size_t place = 0; place < recorded; ++place) {
       apply(commits_[place]);
     }
     commits_.clear();
     for (node &each : nodes_) {
-      each.clock.follow(time_, now_);
+      each.clock.synchronize(time_, now_);
     }
   }
-  /// A configuration with another quota; gateways hear of it one by one.
+  /// Changes the quota; gateways use it after `deliver_configuration`.
   void change_quota(tenants::request_quota quota) {
     const std::uint64_t version = terms_.rbegin()->first + 1;
     terms_[version] = terms_of(quota, version);
   }
-  void tell_configuration(std::size_t gateway) {
+  void deliver_configuration(std::size_t gateway) {
     version_[gateway] = terms_.rbegin()->first;
   }
-  void tell_configuration() {
+  void deliver_configuration() {
     for (std::size_t gateway = 0; gateway < version_.size(); ++gateway) {
-      tell_configuration(gateway);
+      deliver_configuration(gateway);
     }
   }
-  void set_troubles(quota_troubles troubles) { troubles_ = troubles; }
+  void set_faults(quota_faults faults) { faults_ = faults; }
 
-  /// The most requests sent in any window.
+  /// The maximum number of requests sent in any window.
   [[nodiscard]] std::size_t most_in_window() const {
     return most_in_window(timestamp{});
   }
-  /// The same of those sent from a moment on.
+  /// The same, for requests sent at or after `from`.
   [[nodiscard]] std::size_t most_in_window(timestamp from) const {
     std::vector<timestamp> sent;
     for (const timestamp each : sent_) {
@@ -145,7 +146,7 @@
   int refused = 0;
   int paced = 0;
   int begun = 0;  // programs
-  int failed = 0; // of these, refused in their midst
+  int failed = 0; // programs refused after their first request
 
   static constexpr duration_ms window{5000};
   static constexpr std::uint32_t overshoot_permille = 100;
@@ -155,7 +156,7 @@
   static constexpr duration_ms step{5};
 
   struct node {
-    records::permit_desk desk;
+    records::permit_allocator allocator;
     records::quota_clock clock;
     std::uint64_t term = 0;
   };
@@ -166,12 +167,12 @@
   /// One request at a gateway.
   struct request {
     std::size_t gateway = 0;
-    std::uint64_t started = 0; // which of its processes
+    std::uint64_t started = 0; // incarnation of the gateway's process
     bool begins = false;
     std::size_t program = 0;
     timestamp asked{};
   };
-  /// A reservation on its way through the log.
+  /// A proposed reservation that is not committed yet.
   struct commit {
     timestamp due{};
     std::uint64_t term = 0;
@@ -179,7 +180,7 @@
     tenants::quota_time time = 0;
     wire::ReserveQuota wanted;
   };
-  /// Something that happens later.
+  /// A scheduled event.
   struct event {
     timestamp due{};
     std::uint64_t request = 0;
@@ -205,10 +206,10 @@
     return duration_ms{static_cast<std::int64_t>(
         random_() % static_cast<std::uint64_t>(longest.count() + 1))};
   }
-  bool is_lost() {
+  bool loses_message() {
     constexpr std::uint64_t parts = 1000;
     return static_cast<double>(random_() % parts) <
-           troubles_.lost * static_cast<double>(parts);
+           faults_.lost * static_cast<double>(parts);
   }
 
   void begin(std::size_t gateway, bool begins, std::size_t program) {
@@ -218,11 +219,11 @@
                      .begins = begins,
                      .program = program,
                      .asked = now_};
-    // A gateway may ask a leader of before.
-    const bool knows = random_() % 1000 >= troubles_.misled * 1000;
+    // A gateway may send to a former leader.
+    const bool knows = random_() % 1000 >= faults_.misdirected * 1000;
     const std::size_t asked = knows ? leader_ : random_() % nodes_.size();
-    if (!cut_off_[gateway] && !is_lost()) {
-      events_.push_back({.due = now_ + draw(troubles_.longest_way),
+    if (!cut_off_[gateway] && !loses_message()) {
+      events_.push_back({.due = now_ + draw(faults_.max_message_delay),
                          .request = id,
                          .what = event::kind::asked,
                          .node = asked});
@@ -231,9 +232,10 @@
 
   void pass_time() {
     record();
-    while (!later_.empty() && later_.front().first <= now_) {
-      const auto [gateway, number] = later_.front().second;
-      later_.pop_front();
+    while (!scheduled_requests_.empty() &&
+           scheduled_requests_.front().first <= now_) {
+      const auto [gateway, number] = scheduled_requests_.front().second;
+      scheduled_requests_.pop_front();
       begin(gateway, false, number);
     }
     std::vector<event> due;
@@ -245,7 +247,7 @@
       return happens;
     });
     for (event &each : due) {
-      carry_out(each);
+      handle_event(each);
     }
     for (std::size_t number = 0; number < nodes_.size(); ++number) {
       serve(number);
@@ -258,20 +260,20 @@
       return; // never led
     }
     const bool leads = serving.term == term_;
-    for (wire::ReserveQuota &each : serving.desk.due(now_)) {
+    for (wire::ReserveQuota &each : serving.allocator.take_reservations(now_)) {
       if (!leads) {
         continue; // never recorded
       }
-      commits_.push_back({.due = now_ + draw(troubles_.longest_commit),
+      commits_.push_back({.due = now_ + draw(faults_.max_commit_delay),
                           .term = serving.term,
                           .proposer = number,
-                          .time = serving.clock.read(now_),
+                          .time = serving.clock.time_at(now_),
                           .wanted = std::move(each)});
     }
-    for (records::permit_reply &each : serving.desk.take_replies()) {
-      if (!is_lost()) {
-        events_.push_back({.due = now_ + draw(troubles_.longest_way),
-                           .request = each.question.id,
+    for (records::permit_reply &each : serving.allocator.take_replies()) {
+      if (!loses_message()) {
+        events_.push_back({.due = now_ + draw(faults_.max_message_delay),
+                           .request = each.request.id,
                            .what = event::kind::answered,
                            .node = number,
                            .answer = std::move(each.answer)});
@@ -279,8 +281,8 @@
     }
   }
 
-  /// Entries are recorded in the order in which they were proposed; those of a
-  /// leader that was replaced are not.
+  /// Commits entries in the order of their proposal; those of a replaced leader
+  /// are not committed.
   void record() {
     while (!commits_.empty() && commits_.front().due <= now_) {
       const commit each = std::move(commits_.front());
@@ -288,14 +290,15 @@
       const tenants::reservation made = apply(each);
       for (std::size_t number = 0; number < nodes_.size(); ++number) {
         if (number != each.proposer) {
-          // Applied by the others now or later; a clock that follows later is
-          // only slower.
-          nodes_[number].clock.follow(time_, now_);
+          // The others may apply it later in reality; a clock that is
+          // synchronized later is only slower.
+          nodes_[number].clock.synchronize(time_, now_);
         }
       }
       node &proposer = nodes_[each.proposer];
-      proposer.desk.on_reserved(records::to_wire(made, each.wanted.tenant()),
-                                proposer.clock.read(now_), now_);
+      proposer.allocator.on_reserved(
+          records::to_wire(made, each.wanted.tenant()),
+          proposer.clock.time_at(now_), now_);
     }
   }
 
@@ -304,7 +307,7 @@
     return account_.reserve(records::from_wire(entry.wanted), time_);
   }
 
-  void carry_out(event &each) {
+  void handle_event(event &each) {
     const auto found = requests_.find(each.request);
     if (found == requests_.end()) {
       return;
@@ -317,10 +320,10 @@
       wanted.set_begins_program(of.begins);
       *wanted.mutable_terms() = records::to_wire(terms_[version_[of.gateway]]);
       if (asked.term != 0) {
-        asked.desk.ask({.reply_to = std::to_string(of.gateway),
-                        .id = each.request,
-                        .wanted = std::move(wanted)},
-                       asked.clock.read(now_), now_);
+        asked.allocator.request_permit({.reply_to = std::to_string(of.gateway),
+                                        .id = each.request,
+                                        .wanted = std::move(wanted)},
+                                       asked.clock.time_at(now_), now_);
       }
       return;
     }
@@ -335,14 +338,14 @@
       return;
     }
     if (each.what == event::kind::answered) {
-      events_.push_back({.due = now_ + draw(troubles_.longest_wait),
+      events_.push_back({.due = now_ + draw(faults_.max_send_delay),
                          .request = each.request,
                          .what = event::kind::sent});
       return;
     }
     if (now_ < of.asked + tenants::permit_lifetime) {
       sent_.push_back(now_);
-      go_on(of);
+      continue_program(of);
     }
     requests_.erase(found);
   }
@@ -356,19 +359,20 @@
     }
   }
 
-  void go_on(const request &of) {
+  void continue_program(const request &of) {
     if (programs_.empty()) {
       return;
     }
     begun += of.begins ? 1 : 0;
     program &running = programs_[of.program];
     if (--running.left > 0 && !running.failed) {
-      later_.push_back({now_ + duration_ms{250}, {of.gateway, of.program}});
+      scheduled_requests_.push_back(
+          {now_ + duration_ms{250}, {of.gateway, of.program}});
     }
   }
 
   std::mt19937_64 random_;
-  quota_troubles troubles_;
+  quota_faults faults_;
   timestamp now_ = timestamp_from(1000000);
   std::map<std::uint64_t, tenants::quota_terms> terms_;
   std::vector<bool> cut_off_;
@@ -386,7 +390,8 @@
   std::uint64_t last_request_ = 0;
   std::vector<event> events_;
   std::vector<program> programs_;
-  std::deque<std::pair<timestamp, std::pair<std::size_t, std::size_t>>> later_;
+  std::deque<std::pair<timestamp, std::pair<std::size_t, std::size_t>>>
+      scheduled_requests_;
   double due_ = 0;
   std::vector<timestamp> sent_;
 };
