--- a/src/forwarding/gateway.cpp
+++ b/src/forwarding/gateway.cpp
@@ -70,8 +70,8 @@
 }
 
 void gateway::record_permit(const client_request &request,
-                          const records::permit_request &wanted,
-                          const records::permit_answer &answer) {
+                            const records::permit_request &wanted,
+                            const records::permit_answer &answer) {
   const bool granted = answer.verdict == records::permit_verdict::granted;
   metrics_.on_permit(std::string(name_of(answer.verdict)));
   if (granted) {
@@ -96,7 +96,7 @@
 
 std::optional<refusal_cause>
 gateway::recheck_admission(const client_request &request,
-                   const routing::route &route) const {
+                           const routing::route &route) const {
   return tenants_.recheck_admission(request, route, *routes_, steady_now());
 }
 
--- a/src/forwarding/gateway_process.cpp
+++ b/src/forwarding/gateway_process.cpp
@@ -177,7 +177,8 @@
       io, *binding.store, sources_, cache_,
       objects::watch_options{
           .kind = binding.instance_kind,
-          .min_poll_interval = objects::instance_poll_interval(settings_.drain_notice),
+          .min_poll_interval =
+              objects::instance_poll_interval(settings_.drain_notice),
           .enabled = not_relayed,
           .store_down_for_others = no_relay_is_current},
       instance_handlers());
@@ -376,7 +377,8 @@
     asio::co_spawn(io_, watch->run(), asio::detached);
     asio::co_spawn(io_, watch->relist_when_behind(), asio::detached);
   }
-  asio::co_spawn(io_, configuration_watch_->confirm_periodically(), asio::detached);
+  asio::co_spawn(io_, configuration_watch_->confirm_periodically(),
+                 asio::detached);
   if (drain_watch_) {
     asio::co_spawn(io_, drain_watch_->run(), asio::detached);
     asio::co_spawn(io_, drain_watch_->relist_when_behind(), asio::detached);
@@ -457,7 +459,8 @@
     timer.expires_after(contact_check);
     co_await timer.async_wait(as_result);
     ledger_.check_reachability();
-    if (ledger_.failure_detector().state() != records::group_reachability::reachable) {
+    if (ledger_.failure_detector().state() !=
+        records::group_reachability::reachable) {
       ledger_.on_peer_reachability(co_await contacts_.poll());
     }
   }
--- a/src/forwarding/replica_selector.cpp
+++ b/src/forwarding/replica_selector.cpp
@@ -53,12 +53,14 @@
 /// another zone computes its prompt only once. Other requests have no cached
 /// conversation and leave the zone at once.
 routing::drain_position traffic_place_of(const client_request &request,
-                                 const routing::zone_drains &drains,
-                                 timestamp now) {
-  const bool follows_conversation = !drains.all().empty() && !request.prompt.empty() &&
-                             !request.program.empty();
-  return {.draw = follows_conversation ? std::optional(stable_hash(request.program))
-                                : std::nullopt,
+                                         const routing::zone_drains &drains,
+                                         timestamp now) {
+  const bool follows_conversation = !drains.all().empty() &&
+                                    !request.prompt.empty() &&
+                                    !request.program.empty();
+  return {.draw = follows_conversation
+                      ? std::optional(stable_hash(request.program))
+                      : std::nullopt,
           .now = now};
 }
 
@@ -94,7 +96,7 @@
   const routing::service *known =
       routes_ != nullptr ? routes_->find_service(service) : nullptr;
   const bool has_capacity = known != nullptr && known->engine.has_value() &&
-                    known->engine->memory_tokens > 0;
+                            known->engine->memory_tokens > 0;
   if (!has_capacity) {
     return;
   }
@@ -108,7 +110,7 @@
 }
 
 void replica_selector::apply_record(routing::instance_record record,
-                               bool written_again) {
+                                    bool written_again) {
   const routing::instance_record entry = record;
   const routing::instance_ptr before = directory_.find(record.id);
   const routing::put_outcome outcome = directory_.put(std::move(record));
@@ -187,8 +189,8 @@
 }
 
 void replica_selector::record_rejection(const routing::instance_id &id,
-                                     const std::string &reason,
-                                     bool was_listed) {
+                                        const std::string &reason,
+                                        bool was_listed) {
   if (rejected_.record(id.value(), reason)) {
     logging::line(logging::event::instance_entry_rejected)
         .field("instance", id.value())
@@ -370,9 +372,9 @@
   std::vector<balance::candidate> candidates;
   common_exclusion common;
   const bool first_attempt = step.only.empty() && step.excluded.empty();
-  const routing::drain_position place = first_attempt
-                                            ? traffic_place_of(request, drains_, now)
-                                            : routing::drain_position{};
+  const routing::drain_position place =
+      first_attempt ? traffic_place_of(request, drains_, now)
+                    : routing::drain_position{};
   timestamp next_admission = timestamp::max();
   for (const routing::instance_ptr &each : directory_.replicas_of(service)) {
     const routing::incarnation start = each->record.start();
--- a/src/forwarding/replica_selector.hpp
+++ b/src/forwarding/replica_selector.hpp
@@ -126,8 +126,8 @@
   /// Records the prefix that an engine of `service` has cached, according to
   /// the record of an earlier turn.
   void learn_prefix_location(const records::turn_place &place,
-                   const routing::service_id &service,
-                   const std::vector<balance::prompt_part> &prompt);
+                             const routing::service_id &service,
+                             const std::vector<balance::prompt_part> &prompt);
 
   /// Returns this gateway's requests at engines, for the load report to other
   /// gateways.
@@ -159,8 +159,8 @@
   /// start.
   [[nodiscard]] timestamp next_send(const routing::instance &cold,
                                     timestamp now) const;
-  void record_rejection(const routing::instance_id &id, const std::string &reason,
-                     bool was_listed);
+  void record_rejection(const routing::instance_id &id,
+                        const std::string &reason, bool was_listed);
   /// Called after a replica was removed from the directory.
   void on_instance_removed(const routing::instance_ptr &gone);
   void apply_record(routing::instance_record record, bool written_again);
--- a/src/forwarding/tenant_gate.hpp
+++ b/src/forwarding/tenant_gate.hpp
@@ -92,14 +92,14 @@
   /// @return the cause for refusing it, if any.
   [[nodiscard]] std::optional<refusal_cause>
   recheck_admission(const client_request &request, const routing::route &route,
-            const routing::route_table &routes, timestamp now) const;
+                    const routing::route_table &routes, timestamp now) const;
 
   /// Records that the configuration was current at `moment`.
   void confirm(timestamp moment) { freshness_.confirm(moment); }
   /// Returns whether keys can be relied on; false while the configuration is
   /// stale and there are tenants.
   [[nodiscard]] bool keys_are_fresh(const routing::route_table &routes,
-                               timestamp now) const {
+                                    timestamp now) const {
     return routes.keys().empty() || freshness_.keys_valid(now);
   }
   [[nodiscard]] const tenants::key_freshness &freshness() const {
--- a/src/records/permit_allocator.cpp
+++ b/src/records/permit_allocator.cpp
@@ -44,7 +44,8 @@
   const duration_ms window{std::max<std::uint32_t>(
       wanted.terms().window_ms(),
       static_cast<std::uint32_t>(tenants::sliding_window_counter::slices))};
-  tenant_allocation &allocation = allocations_.try_emplace(wanted.tenant(), window).first->second;
+  tenant_allocation &allocation =
+      allocations_.try_emplace(wanted.tenant(), window).first->second;
   if (wanted.terms().version() > allocation.terms.version()) {
     allocation.terms = wanted.terms();
     allocation.exhausted_until = {}; // the quota may have been raised
@@ -52,8 +53,8 @@
   return allocation;
 }
 
-void permit_allocator::request_permit(gateway_permit_request request, tenants::quota_time time,
-                      timestamp now) {
+void permit_allocator::request_permit(gateway_permit_request request,
+                                      tenants::quota_time time, timestamp now) {
   tenant_allocation &allocation = allocation_of(request.wanted);
   allocation.last_request_at = now;
   allocation.recent_requests.add(now);
@@ -62,9 +63,11 @@
   }
 }
 
-bool permit_allocator::try_answer(tenant_allocation &allocation, const gateway_permit_request &request,
-                             tenants::quota_time time, timestamp now) {
-  if (request.wanted.begins_program() && refuse_if_paced(allocation, request, now)) {
+bool permit_allocator::try_answer(tenant_allocation &allocation,
+                                  const gateway_permit_request &request,
+                                  tenants::quota_time time, timestamp now) {
+  if (request.wanted.begins_program() &&
+      refuse_if_paced(allocation, request, now)) {
     return true;
   }
   if (allocation.available > 0 && now < allocation.expires_at) {
@@ -78,33 +81,40 @@
   return false;
 }
 
-bool permit_allocator::refuse_if_paced(tenant_allocation &allocation, const gateway_permit_request &request,
-                           timestamp now) {
+bool permit_allocator::refuse_if_paced(tenant_allocation &allocation,
+                                       const gateway_permit_request &request,
+                                       timestamp now) {
   const double rate =
-      static_cast<double>(allocation.terms.millirequests_per_second()) / thousandths;
+      static_cast<double>(allocation.terms.millirequests_per_second()) /
+      thousandths;
   const double seconds =
       static_cast<double>(allocation.terms.window_ms()) / thousandths;
   const double limit =
       rate * seconds +
       static_cast<double>(allocation.terms.burst_millirequests()) / thousandths;
-  const double needed = (allocation.recent_programs.sum(now) + 1) * requests_per_program();
-  const bool crowded = needed > limit * pacing_limit_share +
-                                    allocation.terms.slack() * pacing_slack_share;
+  const double needed =
+      (allocation.recent_programs.sum(now) + 1) * requests_per_program();
+  const bool crowded =
+      needed > limit * pacing_limit_share +
+                   allocation.terms.slack() * pacing_slack_share;
   const double per_second = rate * paced_rate_share / requests_per_program();
   if (allocation.program_pacer.try_take(per_second, now) || !crowded) {
     return false;
   }
-  refuse(allocation, request, true, allocation.program_pacer.next_token_at(per_second, now) - now);
+  refuse(allocation, request, true,
+         allocation.program_pacer.next_token_at(per_second, now) - now);
   return true;
 }
 
-void permit_allocator::grant(tenant_allocation &allocation, gateway_permit_request request,
-                       tenants::quota_time time, timestamp now) {
+void permit_allocator::grant(tenant_allocation &allocation,
+                             gateway_permit_request request,
+                             tenants::quota_time time, timestamp now) {
   --allocation.available;
   allocation.given[tenants::slice_of(time)] += 1;
   const bool begins = request.wanted.begins_program();
   allocation.recent_programs.add(now, begins ? 1 : 0);
-  if (allocation.last_reservation.counted() <= allocation.last_reservation.limit()) {
+  if (allocation.last_reservation.counted() <=
+      allocation.last_reservation.limit()) {
     // Programs that the quota cuts short say nothing about their usual length.
     record_grant(begins);
   }
@@ -116,8 +126,9 @@
   replies_.push_back({std::move(request), std::move(answer)});
 }
 
-void permit_allocator::refuse(const tenant_allocation &allocation, gateway_permit_request request,
-                         bool paced, duration_ms retry_after) {
+void permit_allocator::refuse(const tenant_allocation &allocation,
+                              gateway_permit_request request, bool paced,
+                              duration_ms retry_after) {
   wire::PermitAnswer answer;
   answer.set_paced(paced);
   answer.set_retry_after_ms(static_cast<std::uint32_t>(
@@ -128,18 +139,22 @@
   replies_.push_back({std::move(request), std::move(answer)});
 }
 
-std::uint32_t permit_allocator::headroom(tenant_allocation &allocation, timestamp now) const {
+std::uint32_t permit_allocator::headroom(tenant_allocation &allocation,
+                                         timestamp now) const {
   const auto used = static_cast<double>(allocation.recent_requests.sum(now));
   const auto wanted =
       std::max(static_cast<std::uint32_t>(used * headroom_share), min_headroom);
-  const auto counted = static_cast<double>(allocation.last_reservation.counted()) + wanted;
+  const auto counted =
+      static_cast<double>(allocation.last_reservation.counted()) + wanted;
   const bool tight =
       allocation.last_reservation.most() > 0 &&
-      counted > static_cast<double>(allocation.last_reservation.most()) * headroom_limit;
+      counted > static_cast<double>(allocation.last_reservation.most()) *
+                    headroom_limit;
   return tight ? 0 : wanted;
 }
 
-std::vector<wire::ReserveQuota> permit_allocator::take_reservations(timestamp now) {
+std::vector<wire::ReserveQuota>
+permit_allocator::take_reservations(timestamp now) {
   std::vector<wire::ReserveQuota> wanted;
   for (auto &[tenant, allocation] : allocations_) {
     if (allocation.proposal_pending || now < allocation.exhausted_until) {
@@ -149,7 +164,8 @@
       allocation.available = 0;
     }
     const std::uint32_t spare = headroom(allocation, now);
-    const bool low = allocation.recent_requests.sum(now) > 0 && allocation.available < spare * refill_threshold;
+    const bool low = allocation.recent_requests.sum(now) > 0 &&
+                     allocation.available < spare * refill_threshold;
     if (allocation.waiting.empty() && !low) {
       continue;
     }
@@ -161,7 +177,7 @@
     next.set_kept(allocation.available);
     next.set_wanted(
         static_cast<std::uint32_t>(allocation.waiting.size()) +
-                    (allocation.available < spare ? spare - allocation.available : 0));
+        (allocation.available < spare ? spare - allocation.available : 0));
     next.set_good_for_ms(
         static_cast<std::uint32_t>(reservation_lifetime.count()));
     allocation.proposal_pending = true;
@@ -171,7 +187,7 @@
 }
 
 void permit_allocator::on_reserved(const wire::ReservedQuota &reserved,
-                              tenants::quota_time time, timestamp now) {
+                                   tenants::quota_time time, timestamp now) {
   const auto found = allocations_.find(reserved.tenant());
   if (found == allocations_.end() || !found->second.proposal_pending) {
     return; // proposed in an earlier term
@@ -201,7 +217,8 @@
     if (given) {
       grant(allocation, std::move(request), time, now);
     } else {
-      refuse(allocation, std::move(request), false, allocation.exhausted_until - now);
+      refuse(allocation, std::move(request), false,
+             allocation.exhausted_until - now);
     }
   }
 }
--- a/src/records/permit_allocator.hpp
+++ b/src/records/permit_allocator.hpp
@@ -47,15 +47,16 @@
 public:
   /// Accepts a request. `take_replies` returns the reply, now or later.
   /// @param time the partition's time.
-  void request_permit(gateway_permit_request request, tenants::quota_time time, timestamp now);
+  void request_permit(gateway_permit_request request, tenants::quota_time time,
+                      timestamp now);
 
   /// Returns the reservations that the partition has to record. At most one
   /// reservation per tenant is in progress.
   std::vector<wire::ReserveQuota> take_reservations(timestamp now);
 
   /// Applies a reservation that was recorded.
-  void on_reserved(const wire::ReservedQuota &reserved, tenants::quota_time time,
-                   timestamp now);
+  void on_reserved(const wire::ReservedQuota &reserved,
+                   tenants::quota_time time, timestamp now);
 
   std::vector<permit_reply> take_replies();
 
@@ -69,7 +70,8 @@
 private:
   struct tenant_allocation {
     explicit tenant_allocation(duration_ms window)
-        : recent_requests(recent_requests_span), recent_programs(window), program_pacer(1) {}
+        : recent_requests(recent_requests_span), recent_programs(window),
+          program_pacer(1) {}
 
     static constexpr duration_ms recent_requests_span{500};
 
@@ -88,25 +90,29 @@
     std::deque<gateway_permit_request> waiting;
     tenants::sliding_window_counter recent_requests; // requests received
     tenants::sliding_window_counter recent_programs; // programs begun
-    tenants::token_bucket program_pacer;           // limits new programs
+    tenants::token_bucket program_pacer;             // limits new programs
     timestamp last_request_at{};
   };
 
   tenant_allocation &allocation_of(const wire::TakePermit &wanted);
   /// Replies when that needs no reservation.
   /// @return false when the request has to wait.
-  bool try_answer(tenant_allocation &allocation, const gateway_permit_request &request,
+  bool try_answer(tenant_allocation &allocation,
+                  const gateway_permit_request &request,
                   tenants::quota_time time, timestamp now);
   /// Refuses the first request of a program that exceeds the pace of new
   /// programs.
   /// @return true when it was refused.
-  bool refuse_if_paced(tenant_allocation &allocation, const gateway_permit_request &request, timestamp now);
-  void grant(tenant_allocation &allocation, gateway_permit_request request, tenants::quota_time time,
-            timestamp now);
-  void refuse(const tenant_allocation &allocation, gateway_permit_request request, bool paced,
+  bool refuse_if_paced(tenant_allocation &allocation,
+                       const gateway_permit_request &request, timestamp now);
+  void grant(tenant_allocation &allocation, gateway_permit_request request,
+             tenants::quota_time time, timestamp now);
+  void refuse(const tenant_allocation &allocation,
+              gateway_permit_request request, bool paced,
               duration_ms retry_after);
   /// Number of permits to hold in reserve beyond those that requests wait for.
-  [[nodiscard]] std::uint32_t headroom(tenant_allocation &allocation, timestamp now) const;
+  [[nodiscard]] std::uint32_t headroom(tenant_allocation &allocation,
+                                       timestamp now) const;
   [[nodiscard]] double requests_per_program() const;
   void record_grant(bool begins);
 
--- a/src/records/record_node.cpp
+++ b/src/records/record_node.cpp
@@ -287,10 +287,10 @@
     }
     if (item.change().has_take_permit()) {
       permits_.request_permit({.reply_to = request.reply_to(),
-                    .id = item.id(),
-                    .members_hash = request.members_hash(),
-                    .wanted = item.change().take_permit()},
-                   quota_clock_.time_at(now), now);
+                               .id = item.id(),
+                               .members_hash = request.members_hash(),
+                               .wanted = item.change().take_permit()},
+                              quota_clock_.time_at(now), now);
       continue;
     }
     if (auto known = table_.decided_outcome(item.change())) {
