--- a/src/cluster/partition_table.cpp
+++ b/src/cluster/partition_table.cpp
@@ -196,7 +196,7 @@
   heartbeats_.clear();
 }
 
-void partition_table::transfer_all(partition_view &view) {
+void partition_table::transfer_leaderships(partition_view &view) {
   for (auto &[partition, held] : replicas_) {
     std::set<replica_id> eligible;
     for (const replica_id &voter : held->log.voters()) {
--- a/src/cluster/partition_table.hpp
+++ b/src/cluster/partition_table.hpp
@@ -54,7 +54,7 @@
   void tick(partition_view &view);
 
   /// Hands the leadership of all partitions to voters that stay.
-  void transfer_all(partition_view &view);
+  void transfer_leaderships(partition_view &view);
 
   /// @return the term in which this node leads the partition and knows all
   /// that is committed; nothing when it does not, or when it has lost touch
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -277,7 +277,7 @@
     return;
   }
   auto view = partition_view_of(step);
-  partitions_.transfer_all(view);
+  partitions_.transfer_leaderships(view);
   const bool idle = dispatch_.running() == 0 && dispatch_.waiting() == 0 &&
                     gateway_.size() == 0;
   const bool holds_nothing = partitions_.voting_count() == 0;
