--- a/src/dispatch/dispatch_table.cpp
+++ b/src/dispatch/dispatch_table.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Guess of how long one request occupies a slot, for Retry-After.
-constexpr std::uint64_t slot_time_ms = 2000;
+/// Estimated time that one request occupies an engine slot, for Retry-After.
+constexpr std::uint64_t estimated_slot_time_ms = 2000;
 
-/// Service counted for a request: what the engine really computes for it.
-double service_of(const wire::Usage &usage) {
+/// Returns the tokens that the engine computed for a request: the prompt tokens
+/// that were not cached, and the output.
+double computed_tokens(const wire::Usage &usage) {
   const std::uint64_t prefilled =
       usage.prompt_tokens() -
       std::min(usage.prompt_tokens(), usage.cached_tokens());
@@ -28,47 +29,49 @@
                                 const wire::DispatchRequest &request) {
   const auto known = attempts_.find(request.engine_request());
   if (known != attempts_.end()) {
-    repeat_answer(view, known->second, request);
+    reply_to_duplicate(view, known->second, request);
     return;
   }
   const std::optional<term_id> term = led_term(view, request.backend());
   if (!term.has_value() || term->value() != request.backend_term()) {
-    return; // meant for another leader; the sender asks again
+    return; // addressed to another leader or term; the sender retries
   }
   if (request.reminder()) {
     send_reply(view, reply_to(request, wire::DISPATCH_UNKNOWN));
     return;
   }
-  attempt taken;
-  taken.request = request;
-  taken.arrived = view.step.now();
-  taken.last_progress = view.step.now();
+  attempt created;
+  created.request = request;
+  created.arrived = view.step.now();
+  created.last_progress = view.step.now();
   backend_queue &queue = queues_[request.backend()];
   if (!request.start_allowed()) {
-    // Only a stream that the engine already has may be taken up.
-    attempt &resumed = attempts_[request.engine_request()] = std::move(taken);
-    start(view, resumed, *term);
+    // Without permission to start, only a stream that the engine already has
+    // may be attached to.
+    attempt &reattached = attempts_[request.engine_request()] =
+        std::move(created);
+    start(view, reattached, *term);
     return;
   }
   const config::backend_object *backend =
       view.configuration.backend(request.backend());
   if (backend == nullptr ||
       !view.configuration.accepts_work(request.backend())) {
-    refuse(view, request, "the back end takes no new work", 1);
+    refuse(view, request, "the backend does not accept new requests", 1);
     return;
   }
   const bool full =
       queue.running >= backend->slots && queue.waiting >= backend->queue_limit;
   if (full) {
     const std::uint64_t rounds = 1 + queue.waiting / backend->slots;
-    refuse(view, request, "the back end's queue is full",
-           rounds * slot_time_ms);
+    refuse(view, request, "the backend's queue is full",
+           rounds * estimated_slot_time_ms);
     return;
   }
   ++queue.waiting;
-  attempts_[request.engine_request()] = std::move(taken);
+  attempts_[request.engine_request()] = std::move(created);
   send_reply(view, reply_to(request, wire::DISPATCH_ACCEPTED));
-  pump(view, request.backend());
+  start_waiting_requests(view, request.backend());
 }
 
 void dispatch_table::on_cancel(dispatch_view &view,
@@ -81,24 +84,24 @@
   if (cancelled.state == attempt_state::waiting) {
     --queues_[cancelled.request.backend()].waiting;
     cancelled.state = attempt_state::done;
-    wire::DispatchReply answer =
+    wire::DispatchReply reply =
         reply_to(cancelled.request, wire::DISPATCH_REFUSED);
-    answer.set_detail("cancelled while waiting");
-    cancelled.answer = answer;
-    send_reply(view, std::move(answer));
+    reply.set_detail("cancelled while waiting");
+    cancelled.reply = reply;
+    send_reply(view, std::move(reply));
     return;
   }
   const config::backend_object *backend =
       view.configuration.backend(cancelled.request.backend());
   const auto term = led_term(view, cancelled.request.backend());
   if (cancelled.state == attempt_state::running && backend != nullptr) {
-    wire::CancelEngineRequest &order =
+    wire::CancelEngineRequest &command =
         *view.step.add().mutable_cancel_engine_request();
-    order.set_backend(cancelled.request.backend());
-    order.set_address(backend->address);
-    order.set_engine_request(cancel.engine_request());
-    order.set_epoch(term.has_value() ? term->value()
-                                     : cancelled.request.backend_term());
+    command.set_backend(cancelled.request.backend());
+    command.set_address(backend->address);
+    command.set_engine_request(cancel.engine_request());
+    command.set_epoch(term.has_value() ? term->value()
+                                       : cancelled.request.backend_term());
   }
 }
 
@@ -110,12 +113,12 @@
   if (!term.has_value() || backend == nullptr) {
     return;
   }
-  wire::ReleaseEngineMemory &order =
+  wire::ReleaseEngineMemory &command =
       *view.step.add().mutable_release_engine_memory();
-  order.set_backend(release.backend());
-  order.set_address(backend->address);
-  order.set_program(release.program());
-  order.set_epoch(term->value());
+  command.set_backend(release.backend());
+  command.set_address(backend->address);
+  command.set_program(release.program());
+  command.set_epoch(term->value());
 }
 
 void dispatch_table::on_progress(dispatch_view &view,
@@ -128,7 +131,7 @@
   attempt &running = found->second;
   running.last_progress = view.step.now();
   if (progress.offset() != running.text.size()) {
-    return; // repeated, or out of order; the final answer is whole
+    return; // duplicate or out of order; the final reply has the whole text
   }
   running.text += progress.text();
   send_chunk(view, running, progress.offset(), progress.text());
@@ -142,10 +145,10 @@
     return;
   }
   attempt &done = found->second;
-  wire::DispatchReply answer = reply_to(done.request, finished.status());
-  answer.set_text(finished.text());
-  *answer.mutable_usage() = finished.usage();
-  answer.set_detail(finished.detail());
+  wire::DispatchReply reply = reply_to(done.request, finished.status());
+  reply.set_text(finished.text());
+  *reply.mutable_usage() = finished.usage();
+  reply.set_detail(finished.detail());
   if (finished.status() != wire::DISPATCH_COMPLETED) {
     view.step.log(logging::event::engine_request_failed,
                   fmt::format("{} at {}: {}", finished.engine_request(),
@@ -154,14 +157,15 @@
   backend_queue &queue = queues_[done.request.backend()];
   const double weight =
       std::max<std::uint32_t>(1, done.request.tenant_weight());
-  queue.served[done.request.tenant()] += service_of(finished.usage()) / weight;
-  settle(view, done, std::move(answer));
+  queue.served[done.request.tenant()] +=
+      computed_tokens(finished.usage()) / weight;
+  finish_attempt(view, done, std::move(reply));
 }
 
 void dispatch_table::on_memory_released(
     dispatch_view &view, const wire::EngineMemoryReleased &released) {
   if (!released.released()) {
-    return; // the program's leader asks again
+    return; // the program's leader retries
   }
   const partition_id partition =
       partition_of(released.program(), view.members.partitions());
@@ -187,11 +191,11 @@
 void dispatch_table::tick(dispatch_view &view) {
   fence_engines(view);
   refuse_waiting(view);
-  give_up_silent(view);
+  fail_silent_attempts(view);
   std::erase_if(attempts_, [&](const auto &entry) {
     const attempt &held = entry.second;
     return held.state == attempt_state::done &&
-           view.step.now() - held.last_progress >= options_.answer_retention;
+           view.step.now() - held.last_progress >= options_.reply_retention;
   });
 }
 
@@ -211,8 +215,8 @@
   return count;
 }
 
-void dispatch_table::repeat_answer(dispatch_view &view, attempt &known,
-                                   const wire::DispatchRequest &request) {
+void dispatch_table::reply_to_duplicate(dispatch_view &view, attempt &known,
+                                        const wire::DispatchRequest &request) {
   const bool new_subscriber =
       request.gateway() != 0 &&
       request.gateway_request() != known.request.gateway_request();
@@ -224,9 +228,9 @@
     }
   }
   if (known.state == attempt_state::done) {
-    wire::DispatchReply answer = known.answer;
-    answer.set_backend_term(request.backend_term());
-    send_reply(view, std::move(answer));
+    wire::DispatchReply reply = known.reply;
+    reply.set_backend_term(request.backend_term());
+    send_reply(view, std::move(reply));
     return;
   }
   send_reply(view, reply_to(known.request, wire::DISPATCH_ACCEPTED));
@@ -235,17 +239,17 @@
 void dispatch_table::refuse(dispatch_view &view,
                             const wire::DispatchRequest &request,
                             std::string detail, std::uint64_t retry_after_ms) {
-  // Remembered, so that a copy of the request that is still under way cannot
-  // start what the caller is told was not run.
+  // The refusal is kept, so that a duplicate of the request that arrives later
+  // cannot start an attempt that was reported as not run.
   attempt &refused = attempts_[request.engine_request()];
   refused.request = request;
   refused.request.clear_messages();
   refused.state = attempt_state::done;
   refused.last_progress = view.step.now();
-  refused.answer = reply_to(request, wire::DISPATCH_REFUSED);
-  refused.answer.set_detail(std::move(detail));
-  refused.answer.set_retry_after_ms(retry_after_ms);
-  send_reply(view, refused.answer);
+  refused.reply = reply_to(request, wire::DISPATCH_REFUSED);
+  refused.reply.set_detail(std::move(detail));
+  refused.reply.set_retry_after_ms(retry_after_ms);
+  send_reply(view, refused.reply);
 }
 
 void dispatch_table::start(dispatch_view &view, attempt &started,
@@ -256,21 +260,22 @@
   started.state = attempt_state::running;
   started.last_progress = view.step.now();
   ++queues_[request.backend()].running;
-  wire::StartEngineRequest &order =
+  wire::StartEngineRequest &command =
       *view.step.add().mutable_start_engine_request();
-  order.set_backend(request.backend());
-  order.set_address(backend == nullptr ? "" : backend->address);
-  order.set_engine_request(request.engine_request());
-  order.set_epoch(epoch.value());
-  order.set_start_allowed(request.start_allowed());
-  order.set_model(request.model());
-  order.set_program(request.program());
-  *order.mutable_messages() = request.messages();
-  order.set_max_output_tokens(request.max_output_tokens());
-  order.set_priority(request.priority());
+  command.set_backend(request.backend());
+  command.set_address(backend == nullptr ? "" : backend->address);
+  command.set_engine_request(request.engine_request());
+  command.set_epoch(epoch.value());
+  command.set_start_allowed(request.start_allowed());
+  command.set_model(request.model());
+  command.set_program(request.program());
+  *command.mutable_messages() = request.messages();
+  command.set_max_output_tokens(request.max_output_tokens());
+  command.set_priority(request.priority());
 }
 
-void dispatch_table::pump(dispatch_view &view, const std::string &name) {
+void dispatch_table::start_waiting_requests(dispatch_view &view,
+                                            const std::string &name) {
   const config::backend_object *backend = view.configuration.backend(name);
   const std::optional<term_id> term = led_term(view, name);
   if (backend == nullptr || !term.has_value()) {
@@ -300,17 +305,18 @@
   }
 }
 
-void dispatch_table::settle(dispatch_view &view, attempt &settled,
-                            wire::DispatchReply answer) {
-  const std::string backend = settled.request.backend();
+void dispatch_table::finish_attempt(dispatch_view &view,
+                                    attempt &finished_attempt,
+                                    wire::DispatchReply reply) {
+  const std::string backend = finished_attempt.request.backend();
   --queues_[backend].running;
-  settled.state = attempt_state::done;
-  settled.last_progress = view.step.now();
-  settled.request.clear_messages();
-  settled.text.clear();
-  settled.answer = answer;
-  send_reply(view, std::move(answer));
-  pump(view, backend);
+  finished_attempt.state = attempt_state::done;
+  finished_attempt.last_progress = view.step.now();
+  finished_attempt.request.clear_messages();
+  finished_attempt.text.clear();
+  finished_attempt.reply = reply;
+  send_reply(view, std::move(reply));
+  start_waiting_requests(view, backend);
 }
 
 void dispatch_table::send_reply(dispatch_view &view,
@@ -318,7 +324,7 @@
   const auto leader =
       view.members.leader_of(partition_id{reply.program_partition()});
   if (!leader.has_value()) {
-    return; // it asks again once there is one
+    return; // the program's next leader retries
   }
   wire::Envelope envelope;
   *envelope.mutable_dispatch_reply() = std::move(reply);
@@ -352,10 +358,10 @@
       continue;
     }
     queue.fence_sent = view.step.now();
-    wire::FenceEngine &order = *view.step.add().mutable_fence_engine();
-    order.set_backend(name);
-    order.set_address(backend.address);
-    order.set_epoch(term->value());
+    wire::FenceEngine &command = *view.step.add().mutable_fence_engine();
+    command.set_backend(name);
+    command.set_address(backend.address);
+    command.set_epoch(term->value());
   }
 }
 
@@ -374,14 +380,14 @@
     --queues_[backend].waiting;
     held.state = attempt_state::done;
     held.last_progress = view.step.now();
-    held.answer = reply_to(held.request, wire::DISPATCH_REFUSED);
-    held.answer.set_detail("the back end moved or is draining");
-    held.answer.set_retry_after_ms(1);
-    send_reply(view, held.answer);
+    held.reply = reply_to(held.request, wire::DISPATCH_REFUSED);
+    held.reply.set_detail("the backend has another leader or is draining");
+    held.reply.set_retry_after_ms(1);
+    send_reply(view, held.reply);
   }
 }
 
-void dispatch_table::give_up_silent(dispatch_view &view) {
+void dispatch_table::fail_silent_attempts(dispatch_view &view) {
   std::vector<std::string> silent;
   for (const auto &[id, held] : attempts_) {
     const bool overdue =
@@ -399,7 +405,7 @@
     finished.set_engine_request(id);
     finished.set_backend(attempts_.at(id).request.backend());
     finished.set_status(wire::DISPATCH_LOST);
-    finished.set_detail("the engine's stream fell silent");
+    finished.set_detail("the engine's stream timed out without progress");
     on_finished(view, finished);
   }
 }
--- a/src/dispatch/dispatch_table.hpp
+++ b/src/dispatch/dispatch_table.hpp
@@ -1,6 +1,6 @@
-// The dispatcher role: for each back end whose partition this node leads, the
-// queue of attempts, those running at the engine, and the answers kept for
-// program leaders that ask again.
+// The dispatcher: for each backend whose partition this node leads, it queues
+// attempts, starts them on the engine as slots become free, and keeps the final
+// replies so that repeated dispatch requests get the same result.
 #pragma once
 
 #include "base/ids.hpp"
@@ -19,16 +19,16 @@
 
 struct dispatch_options {
   std::string scheduling = "fair_priority";
-  /// Answers and refusals are remembered for this long; far longer than any
-  /// message is under way.
-  duration_ms answer_retention{120000};
-  /// An engine stream that is silent for this long is given up.
+  /// How long final replies and refusals are kept. Must exceed the time that a
+  /// duplicate of a request can be delayed, or the duplicate would start again.
+  duration_ms reply_retention{120000};
+  /// An attempt fails when its engine stream makes no progress for this long.
   duration_ms engine_silence_limit{30000};
-  /// Between tries to tell an engine of a new term.
+  /// Retry interval for sending a new leadership term to an engine.
   duration_ms fence_interval{1000};
 };
 
-/// The other tables that dispatching looks at during one reduction.
+/// The tables of the node that the dispatcher uses while it handles one event.
 struct dispatch_view {
   effects::step &step;
   const config::configuration_store &configuration;
@@ -50,8 +50,9 @@
   void on_fenced(const wire::EngineFenced &fenced);
   void tick(dispatch_view &view);
 
-  /// Attempts whose engine stream runs through this node.
+  /// Returns the number of attempts that run on engines, over all backends.
   [[nodiscard]] std::size_t running() const;
+  /// Returns the number of queued attempts, over all backends.
   [[nodiscard]] std::size_t waiting() const;
 
 private:
@@ -63,33 +64,34 @@
     timestamp arrived{};
     timestamp last_progress{};
     std::string text;
-    wire::DispatchReply answer; // once done
+    wire::DispatchReply reply; // set in state done
   };
 
   struct backend_queue {
     std::size_t running = 0;
     std::size_t waiting = 0;
     virtual_times served;
-    /// The term that the engine is known to hold as its fence; 0: none.
+    /// The fencing term that the engine has confirmed; 0 if none.
     std::uint64_t fenced_term = 0;
     timestamp fence_sent{};
   };
 
-  void repeat_answer(dispatch_view &view, attempt &known,
-                     const wire::DispatchRequest &request);
+  void reply_to_duplicate(dispatch_view &view, attempt &known,
+                          const wire::DispatchRequest &request);
   void refuse(dispatch_view &view, const wire::DispatchRequest &request,
               std::string detail, std::uint64_t retry_after_ms);
   void start(dispatch_view &view, attempt &started, term_id epoch);
-  void pump(dispatch_view &view, const std::string &backend);
-  void settle(dispatch_view &view, attempt &settled,
-              wire::DispatchReply answer);
+  void start_waiting_requests(dispatch_view &view, const std::string &backend);
+  void finish_attempt(dispatch_view &view, attempt &finished_attempt,
+                      wire::DispatchReply reply);
   void send_reply(dispatch_view &view, wire::DispatchReply reply);
   void send_chunk(dispatch_view &view, const attempt &source,
                   std::uint64_t offset, std::string text);
   void refuse_waiting(dispatch_view &view);
-  void give_up_silent(dispatch_view &view);
-  /// Tells the engines of back ends that were taken over of the new term, so
-  /// that orders of an earlier leader that wakes late are refused.
+  void fail_silent_attempts(dispatch_view &view);
+  /// Sends the current leadership term to the engine of each led backend that
+  /// has not confirmed it, so that the engine rejects commands of earlier
+  /// leaders.
   void fence_engines(dispatch_view &view);
   [[nodiscard]] wire::DispatchReply
   reply_to(const wire::DispatchRequest &request,
--- a/src/dispatch/scheduling_policy.cpp
+++ b/src/dispatch/scheduling_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration_ms default_waiting_bound{5000};
+constexpr duration_ms default_aging_interval{5000};
 
 double served_to(const virtual_times &served, const std::string &tenant) {
   const auto found = served.find(tenant);
@@ -32,7 +32,7 @@
                                 const virtual_times &served,
                                 timestamp now) const {
   const auto rank = [&](const waiting_request &request) {
-    const auto aged = (now - request.arrived) / waiting_bound_;
+    const auto aged = (now - request.arrived) / aging_interval_;
     return std::tuple(static_cast<std::int64_t>(request.priority) - aged,
                       served_to(served, request.tenant),
                       request.attained_service, request.arrived);
@@ -47,7 +47,7 @@
 
 const scheduling_policy &scheduling_policy_named(std::string_view name) {
   static const first_come_first_served fifo;
-  static const fair_priority fair{default_waiting_bound};
+  static const fair_priority fair{default_aging_interval};
   if (name == "fifo") {
     return fifo;
   }
--- a/src/dispatch/scheduling_policy.hpp
+++ b/src/dispatch/scheduling_policy.hpp
@@ -1,5 +1,5 @@
-// Which waiting request a dispatcher sends next: pure policies over a view of
-// its queue.
+// Scheduling policies, which select the queued request that the dispatcher
+// sends next to a backend. They hold no state of the queue.
 #pragma once
 
 #include "base/time.hpp"
@@ -12,11 +12,11 @@
 
 namespace heathtrestle::dispatch {
 
-/// A waiting request as policies see it.
+/// The properties of a queued request that scheduling depends on.
 struct waiting_request {
   std::uint32_t priority = 0; // 0 is the most urgent
   std::string tenant;
-  std::uint64_t attained_service = 0; // tokens its program has used so far
+  std::uint64_t attained_service = 0; // tokens that its program has used so far
   timestamp arrived{};
 };
 
@@ -30,14 +30,16 @@
   scheduling_policy &operator=(const scheduling_policy &) = delete;
   virtual ~scheduling_policy() = default;
 
-  /// @param waiting at least one request.
-  /// @return the index of the request to send.
+  /// Selects the request to send next.
+  /// @param waiting must not be empty.
+  /// @param served the service that each tenant has received.
+  /// @return an index into `waiting`.
   [[nodiscard]] virtual std::size_t
   next(const std::vector<waiting_request> &waiting, const virtual_times &served,
        timestamp now) const = 0;
 };
 
-/// Baseline: in order of arrival.
+/// Selects requests in order of arrival.
 class first_come_first_served final : public scheduling_policy {
 public:
   [[nodiscard]] std::size_t next(const std::vector<waiting_request> &waiting,
@@ -45,24 +47,25 @@
                                  timestamp now) const override;
 };
 
-/// The most urgent class first; within it the tenant with the least service
-/// for its weight; within that the program with the least service so far. A
-/// request gains one class of urgency for each bound of waiting, so that none
-/// starves.
+/// Selects by priority class, then by the tenant's weighted service, then by
+/// the program's attained service, then by arrival; the lowest value goes
+/// first. A request moves up by one class per aging interval, which prevents
+/// starvation.
 class fair_priority final : public scheduling_policy {
 public:
-  explicit fair_priority(duration_ms waiting_bound)
-      : waiting_bound_(waiting_bound) {}
+  explicit fair_priority(duration_ms aging_interval)
+      : aging_interval_(aging_interval) {}
 
   [[nodiscard]] std::size_t next(const std::vector<waiting_request> &waiting,
                                  const virtual_times &served,
                                  timestamp now) const override;
 
 private:
-  duration_ms waiting_bound_;
+  duration_ms aging_interval_;
 };
 
-/// @param name "fifo" or "fair_priority"; any other name gives the last.
+/// Returns the policy for a configured name.
+/// @param name "fifo" or "fair_priority"; any other name gives `fair_priority`.
 const scheduling_policy &scheduling_policy_named(std::string_view name);
 
 } // namespace heathtrestle::dispatch
--- a/tests/dispatch/scheduling_policy_test.cpp
+++ b/tests/dispatch/scheduling_policy_test.cpp
@@ -7,32 +7,32 @@
 
 class scheduling_policy_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(scheduling_policy_test);
-  CPPUNIT_TEST(the_urgent_class_goes_first);
-  CPPUNIT_TEST(the_tenant_with_less_service_goes_first);
-  CPPUNIT_TEST(the_program_with_less_service_goes_first);
-  CPPUNIT_TEST(nothing_waits_for_ever);
+  CPPUNIT_TEST(most_urgent_class_goes_first);
+  CPPUNIT_TEST(tenant_with_less_service_goes_first);
+  CPPUNIT_TEST(program_with_less_service_goes_first);
+  CPPUNIT_TEST(waiting_raises_urgency);
   CPPUNIT_TEST(first_come_first_served_ignores_classes);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void the_urgent_class_goes_first() {
+  void most_urgent_class_goes_first() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          pick({request(2, "a", 0, 0), request(0, "b", 9, 50)}));
   }
 
-  void the_tenant_with_less_service_goes_first() {
+  void tenant_with_less_service_goes_first() {
     served_ = {{"a", 100.0}, {"b", 10.0}};
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          pick({request(0, "a", 0, 0), request(0, "b", 9, 50)}));
   }
 
-  void the_program_with_less_service_goes_first() {
+  void program_with_less_service_goes_first() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          pick({request(0, "a", 9, 0), request(0, "a", 2, 50)}));
   }
 
-  void nothing_waits_for_ever() {
-    // One class of urgency is gained for each bound of waiting.
+  void waiting_raises_urgency() {
+    // Guards against starvation: a request moves up a class per 5 s of waiting.
     const std::vector<waiting_request> waiting{request(2, "a", 9, 0),
                                                request(0, "b", 0, 16000)};
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pick(waiting, 16000));
