--- a/src/cluster/partition_maintenance.cpp
+++ b/src/cluster/partition_maintenance.cpp
@@ -1,5 +1,6 @@
-// Upkeep of replica sets by partition leaders: replacing voters whose process
-// is gone or leaves, one replica at a time and through the partition's log.
+// Replica set maintenance by partition leaders: replaces voters whose process
+// is dead or leaving and spreads replicas over zones. Membership changes go
+// through the partition's log, one replica at a time.
 #include "cluster/partition_table.hpp"
 
 #include <algorithm>
@@ -10,11 +11,13 @@
 
 namespace {
 
-/// A learner that has not caught up after this long is given up.
-constexpr duration_ms learner_patience{15000};
-constexpr duration_ms failed_learner_pause{10000};
+/// A learner that has not caught up after this time is dropped.
+constexpr duration_ms learner_catch_up_timeout{15000};
+/// A dropped learner is not chosen again before this time has passed.
+constexpr duration_ms failed_learner_retry_delay{10000};
 
-bool votes(const std::vector<replica_id> &voters, const replica_id &replica) {
+bool is_voter(const std::vector<replica_id> &voters,
+              const replica_id &replica) {
   return std::find(voters.begin(), voters.end(), replica) != voters.end();
 }
 
@@ -24,7 +27,7 @@
                                      const replica_id &voter) const {
   const membership::member_state *state = view.members.find(voter.node);
   if (state == nullptr || state->member.boot() != voter.boot.value()) {
-    return true; // forgotten, or the node runs another process by now
+    return true; // unknown member, or the node's process has restarted
   }
   if (state->member.leaving()) {
     return true;
@@ -38,26 +41,26 @@
                                replica &target, raft::outbox &out) {
   const timestamp now = view.step.now();
   std::erase_if(target.failed_learners, [now](const auto &entry) {
-    return now - entry.second >= failed_learner_pause;
+    return now - entry.second >= failed_learner_retry_delay;
   });
   if (target.learner.has_value()) {
     const replica_id learner = *target.learner;
-    const bool hopeless = !view.members.is_running(learner) ||
-                          now - target.learner_since >= learner_patience;
+    const bool failed = !view.members.is_running(learner) ||
+                        now - target.learner_since >= learner_catch_up_timeout;
     if (target.log.caught_up(learner)) {
       std::vector<replica_id> voters = target.log.voters();
       voters.push_back(learner);
       if (!target.log.change_replicas(voters, now, out)) {
         target.learner.reset();
       }
-    } else if (hopeless) {
+    } else if (failed) {
       target.log.drop_learner(learner);
       target.failed_learners[learner] = now;
       target.learner.reset();
     }
     return;
   }
-  if (const auto removed = voter_to_remove(view, target)) {
+  if (const auto removed = select_voter_to_remove(view, target)) {
     std::vector<replica_id> voters = target.log.voters();
     std::erase(voters, *removed);
     target.log.change_replicas(voters, now, out);
@@ -67,8 +70,8 @@
 }
 
 std::optional<replica_id>
-partition_table::voter_to_remove(partition_view &view,
-                                 const replica &target) const {
+partition_table::select_voter_to_remove(partition_view &view,
+                                        const replica &target) const {
   const std::vector<replica_id> &voters = target.log.voters();
   const replica_id self = view.members.self_replica();
   std::vector<replica_id> leaving;
@@ -82,25 +85,25 @@
   }
   const std::uint32_t wanted = view.members.founding()->replication();
   if (leaving.empty()) {
-    return staying > wanted ? voter_in_shared_zone(view, target) : std::nullopt;
+    return staying > wanted ? select_surplus_voter(view, target) : std::nullopt;
   }
   const bool replaced = staying >= wanted;
-  // With no process to put in its place a voter that leaves on purpose may go
-  // first, as long as two others hold every record.
+  // If there is no spare process to replace it, a voter that is still running
+  // and shuts down as planned may be removed first, as long as two others stay.
   const bool planned = view.members.is_running(leaving.front());
-  const bool nobody_left =
+  const bool no_spare_process =
       staying >= 2 && view.members.running_count() <= voters.size();
-  if (replaced || (planned && nobody_left)) {
+  if (replaced || (planned && no_spare_process)) {
     return leaving.front();
   }
   return std::nullopt;
 }
 
-bool partition_table::some_voter_is_gone_for_good(const partition_view &view,
-                                                  const replica &target) const {
+bool partition_table::has_vacancy_or_lost_voter(const partition_view &view,
+                                                const replica &target) const {
   const std::vector<replica_id> &voters = target.log.voters();
   if (voters.size() < view.members.founding()->replication()) {
-    return true; // a place is free anyway
+    return true; // the set has a vacancy
   }
   return std::any_of(
       voters.begin(), voters.end(), [&](const replica_id &voter) {
@@ -117,7 +120,7 @@
 }
 
 std::optional<replica_id>
-partition_table::voter_in_shared_zone(const partition_view &view,
+partition_table::select_surplus_voter(const partition_view &view,
                                       const replica &target) const {
   std::map<std::string, std::size_t> voters_in_zone;
   for (const replica_id &voter : target.log.voters()) {
@@ -160,20 +163,20 @@
   }
   std::vector<const wire::Member *> candidates;
   for (const wire::Member *member : view.members.running()) {
-    // A set that is complete but crowded in a zone only wants another zone.
+    // A complete set that shares a zone only needs a member of a new zone.
     const bool useful = !complete || !distinct.contains(member->zone());
     const bool fit = member->status() == wire::MEMBER_ALIVE &&
                      member->holds_partitions() && !member->leaving() &&
-                     useful && !votes(voters, replica_of(*member)) &&
+                     useful && !is_voter(voters, replica_of(*member)) &&
                      !target.failed_learners.contains(replica_of(*member));
     if (fit) {
       candidates.push_back(member);
     }
   }
-  if (!complete && !some_voter_is_gone_for_good(view, target)) {
-    // The silent voter may only be cut off and still hold every record. A
-    // second replica in a zone that has one would not survive that zone, so
-    // only another zone takes the place of a voter that may come back.
+  if (!complete && !has_vacancy_or_lost_voter(view, target)) {
+    // The unreachable voter may only be partitioned and still hold the whole
+    // log. A second replica in an occupied zone would be lost together with
+    // that zone, so a voter that may return is replaced only from a new zone.
     std::erase_if(candidates, [&distinct](const wire::Member *member) {
       return distinct.contains(member->zone());
     });
--- a/src/cluster/partition_table.cpp
+++ b/src/cluster/partition_table.cpp
@@ -26,8 +26,8 @@
   }
 }
 
-wire::LeaderHint hint_of(partition_id partition, term_id term,
-                         const replica_id &leader) {
+wire::LeaderHint make_leader_hint(partition_id partition, term_id term,
+                                  const replica_id &leader) {
   wire::LeaderHint hint;
   hint.set_partition(partition.value());
   hint.set_term(term.value());
@@ -73,8 +73,8 @@
     if (!from_leader || view.members.partitions() == 0) {
       return;
     }
-    // A leader has picked this process as a new replica. It starts without
-    // voters, so it cannot campaign before the log names it as one.
+    // A leader has chosen this process as a new replica. It starts with an
+    // empty voter set, so it cannot campaign before the log adds it as a voter.
     target = &create(view, partition, {});
   }
   raft::outbox out;
@@ -107,7 +107,7 @@
   default:
     break;
   }
-  settle(view, partition, *target, out);
+  advance_replica(view, partition, *target, out);
 }
 
 void partition_table::on_client_request(partition_view &view, node_id gateway,
@@ -119,7 +119,8 @@
                              target->log.leader().has_value();
     wire::LeaderHint hint;
     if (knows_other) {
-      hint = hint_of(partition, target->log.term(), *target->log.leader());
+      hint = make_leader_hint(partition, target->log.term(),
+                              *target->log.leader());
     } else if (const auto known = view.members.leader_of(partition)) {
       hint = *known;
     }
@@ -131,7 +132,7 @@
       *envelope.mutable_client_reply()->mutable_redirect() = hint;
       view.step.send(gateway, std::move(envelope));
     }
-    return; // otherwise the gateway asks again
+    return; // without a redirect the gateway retries
   }
   with_coordinator(view, partition, *target, [&](auto &inner) {
     target->coordinator.on_request(inner, {gateway, request.request_id()},
@@ -185,7 +186,7 @@
                          [&](auto &inner) { target.coordinator.tick(inner); });
       }
     }
-    settle(view, partition, target, out);
+    advance_replica(view, partition, target, out);
   }
   for (auto &[peer, batch] : heartbeats_) {
     *batch.mutable_leader() = to_wire(view.members.self_replica());
@@ -207,7 +208,7 @@
     eligible.erase(view.members.self_replica());
     raft::outbox out;
     held->log.transfer_leadership(eligible, out);
-    settle(view, partition, *held, out);
+    advance_replica(view, partition, *held, out);
   }
 }
 
@@ -294,7 +295,7 @@
     const partition_id partition{heartbeat.partition()};
     replica *target = find(partition);
     if (target == nullptr) {
-      continue; // the leader's next append creates it
+      continue; // the leader's next append creates the replica
     }
     const std::uint64_t term = target->log.handle(
         leader, heartbeat, view.step.now(), view.step.draw());
@@ -302,7 +303,7 @@
     reply.set_partition(heartbeat.partition());
     reply.set_term(term);
     raft::outbox out;
-    settle(view, partition, *target, out);
+    advance_replica(view, partition, *target, out);
   }
   if (replies.replies_size() > 0) {
     view.step.send(leader, std::move(envelope));
@@ -317,18 +318,19 @@
     if (replica *target = find(partition)) {
       raft::outbox out;
       target->log.handle(follower, reply, view.step.now(), out);
-      settle(view, partition, *target, out);
+      advance_replica(view, partition, *target, out);
     }
   }
 }
 
-void partition_table::settle(partition_view &view, partition_id partition,
-                             replica &target, raft::outbox &out) {
+void partition_table::advance_replica(partition_view &view,
+                                      partition_id partition, replica &target,
+                                      raft::outbox &out) {
   std::vector<programs::proposal> proposals;
   do {
     proposals.clear();
     apply_committed(view, partition, target, proposals);
-    follow_leadership(view, partition, target, proposals);
+    update_leadership(view, partition, target, proposals);
     append(view, target, proposals, out);
   } while (!proposals.empty());
   flush(view, target, out);
@@ -369,7 +371,7 @@
   }
 }
 
-void partition_table::follow_leadership(
+void partition_table::update_leadership(
     partition_view &view, partition_id partition, replica &target,
     std::vector<programs::proposal> &proposals) {
   const bool established = target.log.established();
@@ -385,8 +387,8 @@
   if (established && !target.established) {
     target.established = true;
     target.established_term = target.log.term();
-    view.members.merge(
-        hint_of(partition, target.log.term(), view.members.self_replica()));
+    view.members.merge(make_leader_hint(partition, target.log.term(),
+                                        view.members.self_replica()));
     view.step.log(
         logging::event::leadership_gained,
         fmt::format("partition {} term {}", partition, target.log.term()));
--- a/src/cluster/partition_table.hpp
+++ b/src/cluster/partition_table.hpp
@@ -1,5 +1,5 @@
-// The partition replicas of this node: their logs, their programs' records,
-// and for those that it leads the coordinator of the programs.
+// The partition replicas of this node. Each has a Raft log, the program records
+// that the log produces, and a coordinator that acts while the replica leads.
 #pragma once
 
 #include "base/ids.hpp"
@@ -22,14 +22,14 @@
   raft::options raft;
   programs::coordinator_options programs;
   duration_ms maintenance_interval{1000};
-  /// How long a voter's process must be gone before it is replaced.
+  /// How long a voter's process must be considered dead before it is replaced.
   duration_ms replacement_delay{4000};
-  /// How long a silent voter may still come back, when the only replacements
-  /// are in zones that hold a replica already.
+  /// How long a dead voter is expected to return. Until then it is not replaced
+  /// by a process in a zone that already holds a replica.
   duration_ms presumed_death_delay{30000};
 };
 
-/// The other tables that partitions look at during one reduction.
+/// The tables of the node that partitions use while they handle one event.
 struct partition_view {
   effects::step &step;
   const config::configuration_store &configuration;
@@ -53,22 +53,24 @@
                           const wire::MemoryReleaseDone &done);
   void tick(partition_view &view);
 
-  /// Hands the leadership of all partitions to voters that stay.
+  /// Starts a leadership transfer for each partition that this node leads, to a
+  /// voter that is not about to be replaced.
   void transfer_leaderships(partition_view &view);
 
-  /// @return the term in which this node leads the partition and knows all
-  /// that is committed; nothing when it does not, or when it has lost touch
-  /// with the majority and may have been replaced.
+  /// Returns the term in which this node is the established leader of the
+  /// partition, that is, knows all committed entries. Returns nothing if it is
+  /// not, or if it has lost contact with the quorum and may be superseded.
   [[nodiscard]] std::optional<term_id> led_term(partition_id partition,
                                                 timestamp now) const;
   [[nodiscard]] std::uint32_t led_count() const;
   [[nodiscard]] std::uint32_t replica_count() const;
-  /// Partitions in whose committed replica set this process stands.
+  /// Returns the number of replicas here that their log has not retired.
   [[nodiscard]] std::uint32_t voting_count() const;
   void describe(timestamp now, std::uint32_t limit,
                 wire::StatusReply &reply) const;
 
-  /// The records of a partition's replica here, for tests and checkers.
+  /// Returns the records of the local replica, or null if there is none. For
+  /// tests and checkers.
   [[nodiscard]] const programs::program_store *
   store_of(partition_id partition) const;
   [[nodiscard]] const raft::consensus *log_of(partition_id partition) const;
@@ -83,7 +85,7 @@
     timestamp last_maintenance{};
     std::optional<replica_id> learner{};
     timestamp learner_since{};
-    /// Processes that did not catch up in time, and when they were given up.
+    /// Learners that did not catch up in time, and when they were dropped.
     std::map<replica_id, timestamp> failed_learners{};
   };
 
@@ -95,30 +97,31 @@
                          const wire::HeartbeatBatch &batch);
   void handle_heartbeat_replies(partition_view &view,
                                 const wire::HeartbeatReplyBatch &batch);
-  /// Applies what is committed, follows changes of leadership, appends what
-  /// the coordinator proposes, and sends the messages that result.
-  void settle(partition_view &view, partition_id partition, replica &target,
-              raft::outbox &out);
+  /// Applies committed entries, handles gained and lost leadership, appends the
+  /// coordinator's proposals until there are none, and sends the messages.
+  void advance_replica(partition_view &view, partition_id partition,
+                       replica &target, raft::outbox &out);
   void append(partition_view &view, replica &target,
               std::vector<programs::proposal> &proposals, raft::outbox &out);
   void apply_committed(partition_view &view, partition_id partition,
                        replica &target,
                        std::vector<programs::proposal> &proposals);
-  void follow_leadership(partition_view &view, partition_id partition,
+  void update_leadership(partition_view &view, partition_id partition,
                          replica &target,
                          std::vector<programs::proposal> &proposals);
   void flush(partition_view &view, replica &target, raft::outbox &out);
   void maintain(partition_view &view, partition_id partition, replica &target,
                 raft::outbox &out);
-  std::optional<replica_id> voter_to_remove(partition_view &view,
-                                            const replica &target) const;
-  /// A voter that may go when there is one too many: one that shares its zone
-  /// with another before any other.
-  std::optional<replica_id> voter_in_shared_zone(const partition_view &view,
+  std::optional<replica_id> select_voter_to_remove(partition_view &view,
+                                                   const replica &target) const;
+  /// Selects the voter to remove from an oversized set, other than this
+  /// process. Prefers one that shares its zone with another voter.
+  std::optional<replica_id> select_surplus_voter(const partition_view &view,
                                                  const replica &target) const;
-  /// True when a voter's process surely or very probably never returns.
-  bool some_voter_is_gone_for_good(const partition_view &view,
-                                   const replica &target) const;
+  /// Returns true if the set has fewer voters than the replication factor, or
+  /// if a voter's process has restarted, is leaving or is presumed dead.
+  bool has_vacancy_or_lost_voter(const partition_view &view,
+                                 const replica &target) const;
   static std::string zone_of(const partition_view &view,
                              const replica_id &voter);
   void add_replacement(partition_view &view, partition_id partition,
@@ -126,7 +129,7 @@
   [[nodiscard]] bool should_replace(const partition_view &view,
                                     const replica_id &voter) const;
 
-  /// Lets the coordinator act, then appends what it proposed.
+  /// Runs an action on the coordinator, then appends its proposals.
   template <typename Action>
   void with_coordinator(partition_view &view, partition_id partition,
                         replica &target, Action action) {
@@ -135,7 +138,7 @@
     action(inner);
     raft::outbox out;
     append(view, target, proposals, out);
-    settle(view, partition, target, out);
+    advance_replica(view, partition, target, out);
   }
 
   programs::coordinator_view
