--- a/src/query/rows.cpp
+++ b/src/query/rows.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A cell as it is compared: numbers by value, everything else as text.
+/// A value in comparable form: two numbers compare by value, others as text.
 struct comparable {
   bool is_number = false;
   std::int64_t number = 0;
@@ -29,7 +29,8 @@
   }
 };
 
-comparable of_cell(const json::object &row, const std::string &field) {
+comparable comparable_from_cell(const json::object &row,
+                                const std::string &field) {
   const json::value *cell = row.if_contains(field);
   comparable result;
   if (cell == nullptr) {
@@ -48,7 +49,7 @@
   return result;
 }
 
-comparable of_literal(const literal &value) {
+comparable comparable_from_literal(const literal &value) {
   comparable result;
   if (const auto *number = std::get_if<std::int64_t>(&value)) {
     result.is_number = true;
@@ -60,9 +61,9 @@
   return result;
 }
 
-bool holds(const json::object &row, const condition &condition) {
-  const comparable cell = of_cell(row, condition.field);
-  const comparable wanted = of_literal(condition.value);
+bool matches(const json::object &row, const condition &condition) {
+  const comparable cell = comparable_from_cell(row, condition.field);
+  const comparable wanted = comparable_from_literal(condition.value);
   switch (condition.operation) {
   case comparison::equal:
     return cell == wanted;
@@ -103,7 +104,7 @@
   std::erase_if(rows, [&show](const json::object &row) {
     return !std::all_of(
         show.conditions.begin(), show.conditions.end(),
-        [&row](const condition &each) { return holds(row, each); });
+        [&row](const condition &each) { return matches(row, each); });
   });
   if (show.order.has_value()) {
     const ordering &order = *show.order;
@@ -111,13 +112,13 @@
     std::stable_sort(
         rows.begin(), rows.end(),
         [&order](const json::object &left, const json::object &right) {
-          const comparable first = of_cell(left, order.field);
-          const comparable second = of_cell(right, order.field);
+          const comparable first = comparable_from_cell(left, order.field);
+          const comparable second = comparable_from_cell(right, order.field);
           return order.descending ? second < first : first < second;
         });
   }
   if (show.limit.has_value() && *show.limit < 0) {
-    return fail(error_code::invalid_request, "the limit is negative",
+    return fail(error_code::invalid_request, "the limit must not be negative",
                 "run statement");
   }
   if (show.limit.has_value() &&
--- a/src/query/rows.hpp
+++ b/src/query/rows.hpp
@@ -1,4 +1,4 @@
-// Filters, orders and cuts rows of a table as a show statement asks.
+// Evaluates a show statement on the rows of a table.
 #pragma once
 
 #include "base/error.hpp"
@@ -11,8 +11,11 @@
 
 namespace heathtrestle::query {
 
-/// Applies a statement's conditions, order and limit.
-/// @param fields the table's fields; a statement naming another is refused.
+/// Filters, sorts and truncates rows by the conditions, order and limit of a
+/// statement.
+/// @param fields the table's fields.
+/// @return `invalid_request` if the statement names another field or its limit
+/// is negative.
 result<std::vector<boost::json::object>>
 select_rows(std::vector<boost::json::object> rows,
             const std::vector<std::string> &fields, const show_statement &show);
--- a/src/query/statement.cpp
+++ b/src/query/statement.cpp
@@ -30,13 +30,13 @@
   }
 } const comparison_symbol;
 
-/// A word of the language, in any case and not the beginning of a longer one.
-auto word(const char *text) {
+/// Matches a whole keyword, regardless of case.
+auto keyword(const char *text) {
   return x3::lexeme[x3::no_case[x3::lit(text)] >>
                     !(x3::alnum | x3::char_("-_"))];
 }
 
-/// A table, kind or field.
+/// The name of a table, kind or field.
 const auto identifier = x3::rule<struct identifier_tag, std::string>("a name") =
     x3::lexeme[x3::alpha >> *(x3::alnum | x3::char_('_'))];
 
@@ -46,7 +46,7 @@
 const auto quoted = x3::rule<struct quoted_tag, std::string>("a quoted text") =
     double_quoted | single_quoted;
 
-/// An object's name or an unquoted text.
+/// The name of an object, or a text value; quoted or unquoted.
 const auto name = x3::rule<struct name_tag, std::string>("a name") =
     quoted | x3::lexeme[+(x3::alnum | x3::char_("-_.:/"))];
 
@@ -64,46 +64,47 @@
         identifier > comparison_symbol > value;
 
 const auto descending = x3::rule<struct descending_tag, bool>("asc or desc") =
-    (word("desc") >> x3::attr(true)) | (-word("asc") >> x3::attr(false));
+    (keyword("desc") >> x3::attr(true)) | (-keyword("asc") >> x3::attr(false));
 
 const auto ordering_rule =
     x3::rule<struct ordering_tag, ordering>("an ordering") =
         identifier > descending;
 
-const auto version_guard = -(word("if") > word("version") > number);
+const auto version_guard = -(keyword("if") > keyword("version") > number);
 
 const auto assignment_rule =
     x3::rule<struct one_assignment_tag, assignment>("field = value") =
         identifier > '=' > value;
 
 const auto show_rule = x3::rule<struct show_tag, show_statement>("show") =
-    word("show") > identifier >
-    -(word("where") > (condition_rule % word("and"))) >
-    -(word("order") > word("by") > ordering_rule) > -(word("limit") > number);
+    keyword("show") > identifier >
+    -(keyword("where") > (condition_rule % keyword("and"))) >
+    -(keyword("order") > keyword("by") > ordering_rule) >
+    -(keyword("limit") > number);
 
 const auto add_rule = x3::rule<struct add_tag, write_statement>("add") =
-    word("add") > x3::attr(true) > identifier > name >
+    keyword("add") > x3::attr(true) > identifier > name >
     (assignment_rule % ',') > x3::attr(std::optional<std::int64_t>());
 
 const auto set_rule = x3::rule<struct set_tag, write_statement>("set") =
-    word("set") > x3::attr(false) > identifier > name >
+    keyword("set") > x3::attr(false) > identifier > name >
     (assignment_rule % ',') > version_guard;
 
 const auto remove_rule =
     x3::rule<struct remove_tag, remove_statement>("remove") =
-        word("remove") > identifier > name > version_guard;
+        keyword("remove") > identifier > name > version_guard;
 
 const auto drain_rule = x3::rule<struct drain_tag, drain_statement>("drain") =
-    word("drain") > word("backend") > name > version_guard;
+    keyword("drain") > keyword("backend") > name > version_guard;
 
-const auto end_name = x3::rule<struct end_name_tag, std::string>("end") =
-    word("end") > word("program") > name;
+const auto end_rule = x3::rule<struct end_tag, std::string>("end") =
+    keyword("end") > keyword("program") > name;
 
 } // namespace
 
 result<statement> parse_statement(std::string_view text) {
   auto position = text.begin();
-  const auto complain = [&text](auto where, std::string_view expected) {
+  const auto syntax_error = [&text](auto where, std::string_view expected) {
     const auto column = where - text.begin() + 1;
     const std::string_view rest(where, text.end());
     return fail(error_code::invalid_request,
@@ -137,15 +138,15 @@
     } else if (parse(drain_rule, drain)) {
       parsed = std::move(drain);
       matched = true;
-    } else if (parse(end_name, program)) {
+    } else if (parse(end_rule, program)) {
       parsed = end_statement{std::move(program)};
       matched = true;
     }
   } catch (const x3::expectation_failure<std::string_view::iterator> &failure) {
-    return complain(failure.where(), failure.which());
+    return syntax_error(failure.where(), failure.which());
   }
   if (!matched) {
-    return complain(text.begin(), "show, add, set, remove, drain or end");
+    return syntax_error(text.begin(), "show, add, set, remove, drain or end");
   }
   return parsed;
 }
--- a/src/query/statement.hpp
+++ b/src/query/statement.hpp
@@ -1,5 +1,5 @@
-// The operators' statements and their parser. docs/OPERATORS.md describes the
-// language.
+// The operator query language: syntax trees of its statements and the parser.
+// docs/OPERATORS.md describes the language.
 #pragma once
 
 #include "base/error.hpp"
@@ -22,7 +22,7 @@
   greater_or_equal,
 };
 
-/// A literal: a number, a text, or a list of texts.
+/// A literal value: an integer, a string or a list of strings.
 using literal =
     std::variant<std::int64_t, std::string, std::vector<std::string>>;
 
@@ -50,8 +50,9 @@
   literal value;
 };
 
-/// `add KIND NAME field = value, ...`: the object must not exist.
-/// `set KIND NAME field = value, ... [if version N]`: it must exist.
+/// `add KIND NAME field = value, ...`: creates an object that must not exist.
+/// `set KIND NAME field = value, ... [if version N]`: changes an existing
+/// object.
 struct write_statement {
   bool creates = false;
   std::string kind;
@@ -83,7 +84,8 @@
                  drain_statement, end_statement>;
 
 /// Parses one statement.
-/// @return `invalid_request` that says where the text stops making sense.
+/// @return `invalid_request` with the column of the syntax error and what was
+/// expected there.
 result<statement> parse_statement(std::string_view text);
 
 } // namespace heathtrestle::query
--- a/tests/query/statement_test.cpp
+++ b/tests/query/statement_test.cpp
@@ -9,14 +9,14 @@
 
 class statement_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(statement_test);
-  CPPUNIT_TEST(questions_are_parsed);
-  CPPUNIT_TEST(commands_are_parsed);
-  CPPUNIT_TEST(bad_statements_are_told_with_column);
-  CPPUNIT_TEST(rows_are_filtered_ordered_and_cut);
+  CPPUNIT_TEST(show_statements_are_parsed);
+  CPPUNIT_TEST(write_statements_are_parsed);
+  CPPUNIT_TEST(syntax_errors_report_the_column);
+  CPPUNIT_TEST(rows_are_filtered_ordered_and_limited);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void questions_are_parsed() {
+  void show_statements_are_parsed() {
     const auto parsed =
         parse_statement("SHOW calls WHERE state = stalled AND age_ms >= 500 "
                         "ORDER BY age_ms DESC LIMIT 3;");
@@ -30,7 +30,7 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t{3}, *show.limit);
   }
 
-  void commands_are_parsed() {
+  void write_statements_are_parsed() {
     const auto set = parse_statement(
         "set class counter price = 12, programs = [draft, \"meter check\"] "
         "if version 7");
@@ -53,7 +53,7 @@
         parse_statement("remove tenant t").value()));
   }
 
-  void bad_statements_are_told_with_column() {
+  void syntax_errors_report_the_column() {
     expect("explode", "column 1: expected show, add, set, remove, drain or "
                       "end before \"explode\"");
     expect("show calls where state ~ x", "column 24: expected");
@@ -63,7 +63,7 @@
     expect("", "column 1: expected");
   }
 
-  void rows_are_filtered_ordered_and_cut() {
+  void rows_are_filtered_ordered_and_limited() {
     const std::vector<std::string> fields{"name", "age"};
     const auto rows = [] {
       return std::vector<boost::json::object>{{{"name", "a"}, {"age", 5}},
@@ -75,7 +75,7 @@
           rows(), fields,
           std::get<show_statement>(parse_statement(text).value()));
     };
-    // As numbers, not as texts: 50 is more than 7.
+    // Guards against comparing numbers as text, where 50 is less than 7.
     const auto selected = run("show t where age > 6 order by age desc limit 1");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, selected.value().size());
     CPPUNIT_ASSERT(selected.value()[0].at("name") == "b");
