--- a/src/cluster/partition_table.hpp
+++ b/src/cluster/partition_table.hpp
@@ -64,7 +64,8 @@
                                                 timestamp now) const;
   [[nodiscard]] std::uint32_t led_count() const;
   [[nodiscard]] std::uint32_t replica_count() const;
-  /// Returns the number of replicas here that their log has not retired.
+  /// Returns the number of local replicas that no committed voter set excludes.
+  /// A new replica whose log has no voter set yet is counted.
   [[nodiscard]] std::uint32_t voting_count() const;
   void describe(timestamp now, std::uint32_t limit,
                 wire::StatusReply &reply) const;
