--- a/src/cluster/partition_table.hpp
+++ b/src/cluster/partition_table.hpp
@@ -53,8 +53,8 @@
                           const wire::MemoryReleaseDone &done);
   void tick(partition_view &view);
 
-  /// Starts a leadership transfer for each partition that this node leads, to a
-  /// voter that is not about to be replaced.
+  /// Starts a leadership transfer for each partition that this node leads, if a
+  /// voter has the whole log and is not about to be replaced.
   void transfer_leaderships(partition_view &view);
 
   /// Returns the term in which this node is the established leader of the
