--- a/src/programs/coordinator_attempts.cpp
+++ b/src/programs/coordinator_attempts.cpp
@@ -3,7 +3,7 @@
 #include "programs/coordinator.hpp"
 
 #include "base/error.hpp"
-#include "programs/backend_choice.hpp"
+#include "programs/placement_policy.hpp"
 #include "programs/reservation.hpp"
 
 #include <boost/json.hpp>
--- a/src/programs/coordinator_sweep.cpp
+++ b/src/programs/coordinator_sweep.cpp
@@ -16,7 +16,7 @@
   row.set_name(program.name());
   row.set_spent(program.spent());
   row.set_budget(program.budget());
-  row.set_turns(turns_of(program));
+  row.set_turns(count_turns(program));
   return row;
 }
 
--- a/src/programs/backend_choice.cpp
+++ b/src/programs/placement_policy.cpp
@@ -1,4 +1,4 @@
-#include "programs/backend_choice.hpp"
+#include "programs/placement_policy.hpp"
 
 #include "base/ids.hpp"
 
--- a/src/programs/program_store.cpp
+++ b/src/programs/program_store.cpp
@@ -106,7 +106,7 @@
   return failure;
 }
 
-std::uint32_t turns_of(const wire::ProgramRecord &program) {
+std::uint32_t count_turns(const wire::ProgramRecord &program) {
   return static_cast<std::uint32_t>(
       std::count_if(program.calls().begin(), program.calls().end(),
                     [](const wire::CallRecord &call) {
@@ -294,7 +294,7 @@
                fmt::format("program {} has ended: {}", program->id(),
                            program->end_reason())));
   }
-  if (turns_of(*program) >= program->turn_limit()) {
+  if (count_turns(*program) >= program->turn_limit()) {
     return record_refusal(
         *program, request,
         refuse(error_code::turn_limit,
--- a/src/programs/program_store.hpp
+++ b/src/programs/program_store.hpp
@@ -64,7 +64,7 @@
                                     const std::string &name);
 
 /// Calls that count against the turn limit: all but those that did not run.
-std::uint32_t turns_of(const wire::ProgramRecord &program);
+std::uint32_t count_turns(const wire::ProgramRecord &program);
 
 /// True for states that a call never leaves.
 bool is_final(wire::CallState state);
--- a/src/sim/capacity_main.cpp
+++ b/src/sim/capacity_main.cpp
@@ -3,7 +3,7 @@
 #include "bench/statistics.hpp"
 #include "config/settings_schema.hpp"
 #include "dispatch/scheduling_policy.hpp"
-#include "programs/backend_choice.hpp"
+#include "programs/placement_policy.hpp"
 #include "sim/caller.hpp"
 #include "sim/world.hpp"
 
--- a/tests/programs/backend_choice_test.cpp
+++ b/tests/programs/placement_policy_test.cpp
@@ -1,4 +1,4 @@
-#include "programs/backend_choice.hpp"
+#include "programs/placement_policy.hpp"
 
 #include "support/step_fixture.hpp"
 
@@ -7,8 +7,8 @@
 namespace heathtrestle::programs {
 namespace {
 
-class backend_choice_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(backend_choice_test);
+class placement_policy_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(placement_policy_test);
   CPPUNIT_TEST(the_holder_of_the_cache_is_preferred);
   CPPUNIT_TEST(an_overloaded_holder_is_passed_over);
   CPPUNIT_TEST(a_shared_prefix_goes_to_one_back_end);
@@ -70,7 +70,7 @@
   tests::step_fixture fixture_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(backend_choice_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(placement_policy_test);
 
 } // namespace
 } // namespace heathtrestle::programs
