--- a/src/programs/coordinator.cpp
+++ b/src/programs/coordinator.cpp
@@ -39,14 +39,15 @@
     return command.forget_program().program();
   case wire::Command::kReadBarrier:
     return command.read_barrier().program();
-  case wire::Command::kRecordBatch: // of the record group, not of a partition
+  case wire::Command::kRecordBatch: // belongs to the record group
   case wire::Command::BODY_NOT_SET:
     return none;
   }
   return none;
 }
 
-/// The key of a call that a client's request records; empty for others.
+/// Returns the key of the call in a RecordCall or RefuseCall command; empty for
+/// other commands.
 std::string key_of_call(const wire::Command &command) {
   if (command.has_record_call()) {
     return command.record_call().request().key();
@@ -55,8 +56,9 @@
                                    : std::string();
 }
 
-/// Prices a chat call and reserves its budget, which may shorten its answer.
-/// @return a refusal when the model is not known or the budget too small.
+/// Sets the price and the reservation of a chat call, and limits its output
+/// tokens to the budget.
+/// @return a refusal when the model is unknown or the budget is too small.
 std::optional<wire::Failure>
 reserve_for_chat(const config::configuration_store &configuration,
                  const wire::ProgramRecord &program, wire::CallRequest &request,
@@ -84,7 +86,8 @@
   return std::nullopt;
 }
 
-/// The same for a call of any kind.
+/// Sets the price and the reservation of a chat or tool call.
+/// @return a refusal when the target is unknown or the budget is too small.
 std::optional<wire::Failure>
 reserve(const config::configuration_store &configuration,
         const wire::ProgramRecord &program, wire::CallRequest &request,
@@ -111,7 +114,7 @@
       if (call.state() == wire::CALL_RUNNING) {
         view.step.log(logging::event::call_resumed,
                       fmt::format("{} {}", id, call.request().key()));
-        follow(view, program, call, false);
+        track_attempt(view, program, call, false);
       }
     }
     schedule(view, program.id());
@@ -170,7 +173,7 @@
     if (!outcome.refusal.has_value()) {
       const wire::ProgramRecord &program =
           *view.store.find(program_id{started.program()});
-      follow(view, program, *find_call(program, started.key()), true);
+      track_attempt(view, program, *find_call(program, started.key()), true);
     }
   }
   if (command.has_finish_call()) {
@@ -184,7 +187,7 @@
   const wire::ProgramRecord *program =
       view.store.find(program_id{program_name});
   if (command.has_end_program() && program != nullptr) {
-    end_running_calls(view, *program);
+    cancel_running_calls(view, *program);
     release_memory(view, *program);
   }
   if (origin.has_value() && origin->reply_to.has_value()) {
@@ -208,7 +211,7 @@
   const bool recorded =
       program != nullptr && find_call(*program, key) != nullptr;
   if (!key.empty() && recorded) {
-    // The client waits for the call's outcome, not for its record.
+    // Reply when the call has an outcome, not when it is recorded.
     waiters_[{program_name, key}].push_back(client);
     answer_waiters(view, program_name, key);
     return;
@@ -260,7 +263,7 @@
   const auto running = attempts_.find(id);
   if (is_new && running != attempts_.end() &&
       known->request().kind() == wire::CALL_CHAT) {
-    // The caller came back by another connection: stream to that one.
+    // The client repeated its request: stream to the new request.
     running->second.stream_to = client;
     send_dispatch(view, *program, *known, running->second);
   }
@@ -277,11 +280,11 @@
                command.record_call().request().key() == request.key();
       });
   if (already_proposed) {
-    return; // the gateway asks again; by then the record is applied
+    return; // the gateway repeats the request after the record is applied
   }
   const std::string &after = request.after();
   if (!after.empty() && find_call(program, after) == nullptr) {
-    return; // its predecessor is still on its way; the gateway asks again
+    return; // the predecessor is not recorded yet; the gateway retries
   }
   auto refusal = reduce_to_new_messages(program, request);
   wire::RecordCall record;
--- a/src/programs/coordinator_attempts.cpp
+++ b/src/programs/coordinator_attempts.cpp
@@ -1,5 +1,5 @@
-// The coordinator's handling of attempts: placing, following, retrying and
-// settling them.
+// The coordinator's handling of attempts: placing them on back ends, tracking
+// and retrying them, and recording their outcomes.
 #include "programs/coordinator.hpp"
 
 #include "base/error.hpp"
@@ -43,7 +43,8 @@
   return bytes;
 }
 
-/// An assistant's message with its fields in the canonical order.
+/// Serializes an assistant message with its fields in canonical order, so that
+/// it compares equal to the client's copy in later conversations.
 std::string assistant_message(const std::string &text) {
   boost::json::object message;
   message["content"] = text;
@@ -67,12 +68,12 @@
     const wire::CallRecord *before =
         find_call(*program, call->request().after());
     if (before != nullptr && before->state() != wire::CALL_COMPLETED) {
-      // Made to build on an answer that there is not.
+      // The call depends on an answer that does not exist.
       wire::FinishCall command;
       command.set_state(wire::CALL_NOT_RUN);
       *command.mutable_failure() = failure_of(
           error_code::conflict,
-          fmt::format("call {}, which it comes after, was not completed",
+          fmt::format("predecessor call {} was not completed",
                       call->request().after()),
           "order", "", wire::RAN_NOT_RUN, options_.overload_retry_after_ms);
       finish(view, *program, *call, std::move(command));
@@ -98,8 +99,9 @@
     command.set_cost(not_run ? 0 : call.reserved());
     *command.mutable_failure() = failure_of(
         error_code::no_backend,
-        fmt::format("no back end takes work for {}", request.target()), "place",
-        request.target(), not_run ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN,
+        fmt::format("no back end accepts calls for model {}", request.target()),
+        "place", request.target(),
+        not_run ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN,
         no_backend_retry_after_ms);
     finish(view, program, call, std::move(command));
     return;
@@ -160,9 +162,10 @@
   return candidates[policy.choose(candidates, placement, view.step)].name;
 }
 
-void coordinator::follow(coordinator_view &view,
-                         const wire::ProgramRecord &program,
-                         const wire::CallRecord &call, bool started_here) {
+void coordinator::track_attempt(coordinator_view &view,
+                                const wire::ProgramRecord &program,
+                                const wire::CallRecord &call,
+                                bool started_here) {
   const call_id id{program.id(), call.request().key()};
   attempt state;
   state.number = call.attempt();
@@ -175,8 +178,9 @@
   }
   attempt &stored = attempts_[id] = std::move(state);
   if (call.request().kind() == wire::CALL_TOOL) {
-    // Another leader may have sent an attempt found in the log already; an
-    // unrepeatable one may then only be asked after.
+    // An earlier leader may already have sent an attempt that this leader found
+    // in the log. If the call is unrepeatable, only its status may be
+    // requested.
     const bool start_allowed = started_here || !call.request().unrepeatable();
     invoke_tool(view, program, call, stored, start_allowed);
     return;
@@ -191,7 +195,7 @@
       partition_of(call.backend(), view.members.partitions()));
   state.last_sent = view.step.now();
   if (!dispatcher.has_value()) {
-    return; // asked again at the next tick
+    return; // repeated by tick_attempts() after the resend interval
   }
   wire::Envelope envelope;
   wire::DispatchRequest &request = *envelope.mutable_dispatch_request();
@@ -204,24 +208,26 @@
       engine_request_name(program.id(), call.request().key(), call.attempt()));
   request.set_backend(call.backend());
   request.set_backend_term(dispatcher->term());
-  // One term of a back end's partition is one process that remembers what it
-  // was asked. Asking a second one could start the attempt a second time.
-  const bool asked_elsewhere =
-      !state.started_here || std::any_of(state.asked.begin(), state.asked.end(),
-                                         [&dispatcher](std::uint64_t term) {
-                                           return term != dispatcher->term();
-                                         });
-  request.set_start_allowed(!call.request().unrepeatable() || !asked_elsewhere);
+  // Each dispatcher term belongs to one process, which recognizes repeated
+  // requests. A request to another term could start the attempt a second time.
+  const bool requested_elsewhere =
+      !state.started_here ||
+      std::any_of(state.requested_terms.begin(), state.requested_terms.end(),
+                  [&dispatcher](std::uint64_t term) {
+                    return term != dispatcher->term();
+                  });
+  request.set_start_allowed(!call.request().unrepeatable() ||
+                            !requested_elsewhere);
   if (request.start_allowed()) {
-    state.asked.insert(dispatcher->term());
+    state.requested_terms.insert(dispatcher->term());
   }
   request.set_model(call.request().target());
-  // A dispatcher's term is one process: what it was sent whole once need not
-  // be sent again, and it says so if it never arrived.
-  const bool has_whole = state.sent_whole_to == dispatcher->term();
-  request.set_reminder(has_whole);
-  if (!has_whole) {
-    state.sent_whole_to = dispatcher->term();
+  // The full prompt is sent only once per dispatcher term. A dispatcher that
+  // did not receive it replies DISPATCH_UNKNOWN, and the prompt is sent again.
+  const bool has_full_prompt = state.full_prompt_term == dispatcher->term();
+  request.set_reminder(has_full_prompt);
+  if (!has_full_prompt) {
+    state.full_prompt_term = dispatcher->term();
     for (const std::string &message : prompt_of(program, call)) {
       request.add_messages(message);
     }
@@ -256,8 +262,9 @@
   const config::tool_object *tool =
       view.configuration.tool(call.request().target());
   if (tool == nullptr) {
-    attempt_lost(view, program, call, "the tool left the configuration",
-                 call.request().target());
+    handle_lost_attempt(view, program, call,
+                        "the tool was removed from the configuration",
+                        call.request().target());
     return;
   }
   wire::InvokeTool &invoke = *view.step.add().mutable_invoke_tool();
@@ -279,7 +286,7 @@
   const wire::CallRecord *call =
       running_call(view, reply.program(), reply.key(), reply.attempt());
   if (call == nullptr) {
-    return; // an answer to an attempt that has been settled
+    return; // the attempt has already finished
   }
   queue_lengths_[call->backend()] = reply.queue_length();
   const wire::ProgramRecord &program =
@@ -291,7 +298,7 @@
   case wire::DISPATCH_ACCEPTED:
     return;
   case wire::DISPATCH_UNKNOWN:
-    state.sent_whole_to = 0;
+    state.full_prompt_term = 0;
     send_dispatch(view, program, *call, state);
     return;
   case wire::DISPATCH_COMPLETED:
@@ -300,10 +307,10 @@
     return;
   case wire::DISPATCH_REFUSED:
   case wire::DISPATCH_NOT_STARTED:
-    attempt_declined(view, program, *call, state, reply);
+    handle_declined_attempt(view, program, *call, state, reply);
     return;
   case wire::DISPATCH_LOST:
-    attempt_lost(view, program, *call, reply.detail(), call->backend());
+    handle_lost_attempt(view, program, *call, reply.detail(), call->backend());
     return;
   case wire::DISPATCH_ENGINE_ERROR: {
     wire::FinishCall command;
@@ -319,19 +326,21 @@
   }
 }
 
-void coordinator::attempt_declined(coordinator_view &view,
-                                   const wire::ProgramRecord &program,
-                                   const wire::CallRecord &call, attempt &state,
-                                   const wire::DispatchReply &reply) {
-  state.refused.insert(reply.backend_term());
-  const bool surely_not_started =
+void coordinator::handle_declined_attempt(coordinator_view &view,
+                                          const wire::ProgramRecord &program,
+                                          const wire::CallRecord &call,
+                                          attempt &state,
+                                          const wire::DispatchReply &reply) {
+  state.declined_terms.insert(reply.backend_term());
+  const bool certainly_not_started =
       state.started_here &&
-      std::includes(state.refused.begin(), state.refused.end(),
-                    state.asked.begin(), state.asked.end());
-  if (!surely_not_started && call.request().unrepeatable()) {
-    attempt_lost(view, program, call,
-                 "a dispatcher declined, but another may have started it",
-                 call.backend());
+      std::includes(state.declined_terms.begin(), state.declined_terms.end(),
+                    state.requested_terms.begin(), state.requested_terms.end());
+  if (!certainly_not_started && call.request().unrepeatable()) {
+    handle_lost_attempt(
+        view, program, call,
+        "a dispatcher declined the attempt, but another may have started it",
+        call.backend());
     return;
   }
   view.step.log(logging::event::dispatch_refused,
@@ -342,16 +351,16 @@
       error_code::overloaded,
       reply.detail().empty() ? "the back ends are full" : reply.detail(),
       "dispatch", call.backend(),
-      surely_not_started ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN,
+      certainly_not_started ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN,
       std::max(reply.retry_after_ms(), options_.overload_retry_after_ms));
   retry_or_refuse(view, program, call, std::move(refusal));
 }
 
-void coordinator::attempt_lost(coordinator_view &view,
-                               const wire::ProgramRecord &program,
-                               const wire::CallRecord &call,
-                               const std::string &detail,
-                               const std::string &peer) {
+void coordinator::handle_lost_attempt(coordinator_view &view,
+                                      const wire::ProgramRecord &program,
+                                      const wire::CallRecord &call,
+                                      const std::string &detail,
+                                      const std::string &peer) {
   view.step.log(logging::event::attempt_failed,
                 fmt::format("{} {} attempt {} at {}: {}", program.id(),
                             call.request().key(), call.attempt(), peer,
@@ -363,7 +372,7 @@
                   fmt::format("{} {}", program.id(), call.request().key()));
     wire::FinishCall command;
     command.set_state(wire::CALL_OUTCOME_UNKNOWN);
-    command.set_cost(call.reserved()); // it may have been spent
+    command.set_cost(call.reserved()); // the engine may have used all of it
     *command.mutable_failure() = std::move(failure);
     finish(view, program, call, std::move(command));
     return;
@@ -413,11 +422,11 @@
     finish_completed(view, program, *call, result.result(), {}, call->price());
     return;
   case wire::DISPATCH_NOT_STARTED: {
-    // What an earlier leader may have sent for this attempt is not known.
+    // An earlier leader may have sent this attempt, which may have started.
     const bool started_here =
         attempts_.at({result.program(), result.key()}).started_here;
     if (!started_here && call->request().unrepeatable()) {
-      attempt_lost(view, program, *call, result.detail(), tool);
+      handle_lost_attempt(view, program, *call, result.detail(), tool);
       return;
     }
     retry_or_refuse(
@@ -438,7 +447,7 @@
     return;
   }
   default:
-    attempt_lost(view, program, *call, result.detail(), tool);
+    handle_lost_attempt(view, program, *call, result.detail(), tool);
     return;
   }
 }
--- a/src/programs/coordinator_sweep.cpp
+++ b/src/programs/coordinator_sweep.cpp
@@ -1,12 +1,13 @@
-// The coordinator's periodic work: asking again, noticing stalls, expiring
-// idle programs, returning engine memory, and rows for operators.
+// The coordinator's periodic work: repeating dispatch requests, detecting
+// stalled calls, expiring idle programs and releasing engine memory. Also
+// builds the status rows for operators.
 #include "programs/coordinator.hpp"
 
 namespace heathtrestle::programs {
 
 namespace {
 
-/// Adds a row with what it says of the program.
+/// Adds a status row with the columns that describe the program.
 wire::CallRow &add_row(const wire::ProgramRecord &program,
                        wire::StatusReply &reply) {
   wire::CallRow &row = *reply.add_calls();
@@ -83,8 +84,8 @@
   });
 }
 
-void coordinator::end_running_calls(coordinator_view &view,
-                                    const wire::ProgramRecord &program) {
+void coordinator::cancel_running_calls(coordinator_view &view,
+                                       const wire::ProgramRecord &program) {
   for (const wire::CallRecord &call : program.calls()) {
     const bool cancels = call.state() == wire::CALL_RUNNING &&
                          call.request().kind() == wire::CALL_CHAT;
@@ -106,7 +107,7 @@
                                  const wire::ProgramRecord &program) {
   for (const wire::CallRecord &call : program.calls()) {
     if (call.state() == wire::CALL_RUNNING) {
-      return; // it still uses the memory
+      return; // the running call still uses the memory
     }
   }
   const auto sent = release_sent_.find(program.id());
