--- a/src/programs/placement_policy.cpp
+++ b/src/programs/placement_policy.cpp
@@ -9,11 +9,13 @@
 
 namespace {
 
-/// Relative load above which the holder of the cache is passed over, as long
-/// as another one is under half of it.
+/// The preferred back end is overloaded when its relative load exceeds
+/// `affinity_load_limit` and the alternative's relative load is below
+/// `alternative_load_ratio` times that of the preferred one.
 constexpr double affinity_load_limit = 1.5;
-constexpr double clear_advantage = 0.5;
+constexpr double alternative_load_ratio = 0.5;
 
+/// Queue length per slot.
 double relative_load(const candidate &candidate) {
   return static_cast<double>(candidate.queue_length) /
          static_cast<double>(std::max<std::uint32_t>(1, candidate.slots));
@@ -29,8 +31,9 @@
   return std::nullopt;
 }
 
-std::size_t rendezvous(const std::vector<candidate> &candidates,
-                       const std::string &key) {
+/// Rendezvous hashing: removing a candidate moves only the keys that it had.
+std::size_t choose_by_rendezvous_hash(const std::vector<candidate> &candidates,
+                                      const std::string &key) {
   std::size_t best = 0;
   std::uint64_t best_weight = 0;
   for (std::size_t index = 0; index < candidates.size(); ++index) {
@@ -44,11 +47,12 @@
   return best;
 }
 
-/// The less loaded of two drawn at random, neither of them `excluded`.
-/// @param candidates at least one that is not excluded.
-std::size_t better_of_two(const std::vector<candidate> &candidates,
-                          std::optional<std::size_t> excluded,
-                          effects::step &step) {
+/// Power of two choices: returns the less loaded of two candidates drawn at
+/// random with replacement, neither of them `excluded`.
+/// @param candidates must hold at least one that is not excluded.
+std::size_t less_loaded_of_two(const std::vector<candidate> &candidates,
+                               std::optional<std::size_t> excluded,
+                               effects::step &step) {
   const auto draw = [&] {
     const std::size_t choices =
         candidates.size() - (excluded.has_value() ? 1 : 0);
@@ -87,19 +91,19 @@
                                        effects::step &step) const {
   std::optional<std::size_t> preferred = index_of(candidates, request.affinity);
   if (!preferred.has_value() && !request.prefix_key.empty()) {
-    preferred = rendezvous(candidates, request.prefix_key);
+    preferred = choose_by_rendezvous_hash(candidates, request.prefix_key);
   }
   if (!preferred.has_value()) {
-    return better_of_two(candidates, std::nullopt, step);
+    return less_loaded_of_two(candidates, std::nullopt, step);
   }
   if (candidates.size() == 1) {
     return *preferred;
   }
-  const std::size_t other = better_of_two(candidates, preferred, step);
+  const std::size_t other = less_loaded_of_two(candidates, preferred, step);
   const double preferred_load = relative_load(candidates[*preferred]);
   const double other_load = relative_load(candidates[other]);
   const bool overloaded = preferred_load > affinity_load_limit &&
-                          other_load < preferred_load * clear_advantage;
+                          other_load < preferred_load * alternative_load_ratio;
   return overloaded ? other : *preferred;
 }
 
--- a/src/programs/placement_policy.hpp
+++ b/src/programs/placement_policy.hpp
@@ -1,4 +1,5 @@
-// Which back end gets a call: pure policies over a view of the back ends.
+// Placement policies: load-balancing strategies that choose the back end for a
+// call. They keep no state and decide from the given candidates alone.
 #pragma once
 
 #include "effects/step.hpp"
@@ -10,22 +11,25 @@
 
 namespace heathtrestle::programs {
 
-/// A back end that could take the call, as this node last heard of it.
+/// A back end that serves the requested model, as last reported to this node.
 struct candidate {
   std::string name;
   std::string zone;
   std::uint32_t slots = 1;
-  /// Requests running and waiting at its dispatcher, possibly out of date.
+  /// Requests running and waiting at its dispatcher, from the last reply of
+  /// that dispatcher; possibly stale.
   std::uint32_t queue_length = 0;
 };
 
 /// The call to be placed.
 struct placement_request {
-  /// Back end that holds the prefix cache of the call's history, or empty.
+  /// Back end whose prefix cache holds the agent's history, or empty.
   std::string affinity;
-  /// Names calls with a shared prefix, for those without a history.
+  /// Key that calls with a common prompt prefix share; hashed to a back end
+  /// when `affinity` names none.
   std::string prefix_key;
-  /// Length of the history in bytes: what would have to be prefilled again.
+  /// Length of the history in bytes, which another back end would have to
+  /// prefill again.
   std::uint64_t history_bytes = 0;
   std::string zone;
 };
@@ -44,7 +48,7 @@
                              effects::step &step) const = 0;
 };
 
-/// Baseline: any back end.
+/// Baseline: chooses uniformly at random.
 class random_placement final : public placement_policy {
 public:
   std::size_t choose(const std::vector<candidate> &candidates,
@@ -52,7 +56,7 @@
                      effects::step &step) const override;
 };
 
-/// Baseline: the shortest queue for its slots.
+/// Baseline: chooses the lowest queue length per slot.
 class least_loaded_placement final : public placement_policy {
 public:
   std::size_t choose(const std::vector<candidate> &candidates,
@@ -60,9 +64,9 @@
                      effects::step &step) const override;
 };
 
-/// The back end that holds the history unless its queue is long against the
-/// better of two random others; without a history, the one the shared prefix
-/// hashes to under the same condition.
+/// Prefers the back end that holds the history or, without one, the back end
+/// that the shared prefix hashes to. Falls back to the less loaded of two
+/// random others when the preferred back end is overloaded in comparison.
 class affinity_placement final : public placement_policy {
 public:
   std::size_t choose(const std::vector<candidate> &candidates,
@@ -70,8 +74,8 @@
                      effects::step &step) const override;
 };
 
-/// @param name "random", "least_loaded" or "affinity"; any other name gives
-/// the last.
+/// @param name "random", "least_loaded" or "affinity"; any other name selects
+/// affinity.
 const placement_policy &placement_policy_named(std::string_view name);
 
 } // namespace heathtrestle::programs
--- a/src/programs/program_store.cpp
+++ b/src/programs/program_store.cpp
@@ -20,7 +20,7 @@
   return {.refusal = refuse(code, std::move(message)), .finished_keys = {}};
 }
 
-/// Settles a call as not run under its key.
+/// Records a refused call as not run, without its messages and arguments.
 apply_result record_refusal(wire::ProgramRecord &program,
                             const wire::CallRequest &request,
                             wire::Failure failure) {
@@ -40,6 +40,7 @@
   return refused(error_code::not_found, fmt::format("no program {}", id));
 }
 
+/// Returns the agent's record and creates it if it does not exist.
 wire::AgentRecord &agent_of(wire::ProgramRecord &program,
                             const std::string &name) {
   for (wire::AgentRecord &agent : *program.mutable_agents()) {
@@ -61,10 +62,10 @@
                      });
 }
 
-void note_backend_in_use(wire::ProgramRecord &program,
-                         const std::string &backend) {
-  const auto &noted = program.unreleased_backends();
-  if (std::find(noted.begin(), noted.end(), backend) == noted.end()) {
+void record_backend_in_use(wire::ProgramRecord &program,
+                           const std::string &backend) {
+  const auto &recorded = program.unreleased_backends();
+  if (std::find(recorded.begin(), recorded.end(), backend) == recorded.end()) {
     program.add_unreleased_backends(backend);
   }
 }
@@ -79,11 +80,11 @@
   }
   agent.add_history(call.answer());
   agent.set_last_backend(call.backend());
-  call.mutable_request()->clear_messages(); // the history holds them now
+  call.mutable_request()->clear_messages(); // the history now holds them
 }
 
-/// The settled cost never exceeds what was reserved, so that the budget holds
-/// whatever an engine reports.
+/// Replaces the call's reservation by its cost. The cost is capped at the
+/// reservation, so that a wrong usage report cannot exceed the budget.
 void settle(wire::ProgramRecord &program, wire::CallRecord &call,
             std::uint64_t cost) {
   const std::uint64_t charged = std::min(cost, call.reserved());
@@ -162,8 +163,10 @@
         call.request().after().empty()
             ? nullptr
             : find_call(program, call.request().after());
-    const bool held = before != nullptr && !is_final(before->state());
-    if (first_of_agent && !held && call.state() == wire::CALL_WAITING) {
+    const bool predecessor_pending =
+        before != nullptr && !is_final(before->state());
+    if (first_of_agent && !predecessor_pending &&
+        call.state() == wire::CALL_WAITING) {
       runnable.push_back(&call);
     }
   }
@@ -236,7 +239,7 @@
   case wire::Command::kForgetProgram:
     return apply(command.forget_program());
   case wire::Command::kReadBarrier:
-  case wire::Command::kRecordBatch: // of the record group, not of a partition
+  case wire::Command::kRecordBatch: // belongs to the record group
   case wire::Command::BODY_NOT_SET:
     return {};
   }
@@ -265,7 +268,7 @@
 
 apply_result program_store::apply(const wire::CreateProgram &command) {
   if (find_mutable(command.id()) != nullptr) {
-    return {}; // a repeated request; the program exists as asked
+    return {}; // a repeated request; the existing program is kept
   }
   wire::ProgramRecord program;
   program.set_id(command.id());
@@ -285,7 +288,7 @@
   }
   const wire::CallRequest &request = command.request();
   if (find_call(*program, request.key()) != nullptr) {
-    return {}; // a repeated request; its first record stands
+    return {}; // a repeated request; the first record is kept
   }
   if (program->ended()) {
     return record_refusal(
@@ -327,7 +330,7 @@
     return {.refusal = command.failure(), .finished_keys = {}};
   }
   if (find_call(*program, command.request().key()) != nullptr) {
-    return {}; // another copy of the request came first; its record stands
+    return {}; // another copy of the request is already recorded
   }
   return record_refusal(*program, command.request(), command.failure());
 }
@@ -341,7 +344,8 @@
   }
   const bool follows_last = command.attempt() == call->attempt() + 1;
   if (is_final(call->state()) || !follows_last) {
-    return refused(error_code::conflict, "the call has moved on");
+    return refused(error_code::conflict,
+                   "the call is final or the attempt is out of sequence");
   }
   call->set_state(wire::CALL_RUNNING);
   call->set_attempt(command.attempt());
@@ -349,7 +353,7 @@
   call->set_may_have_started(call->may_have_started() ||
                              command.previous_may_have_started());
   if (call->request().kind() == wire::CALL_CHAT) {
-    note_backend_in_use(*program, command.backend());
+    record_backend_in_use(*program, command.backend());
   }
   return {};
 }
@@ -362,7 +366,8 @@
     return no_such_program(command.program());
   }
   if (is_final(call->state()) || command.attempt() != call->attempt()) {
-    return refused(error_code::conflict, "the call has moved on");
+    return refused(error_code::conflict,
+                   "the call is final or has a different attempt number");
   }
   call->set_state(command.state());
   call->set_answer(command.answer());
--- a/src/programs/program_store.hpp
+++ b/src/programs/program_store.hpp
@@ -1,8 +1,10 @@
-// The state machine of a partition: the records of its programs.
+// The replicated state machine of a partition, which holds the records of its
+// programs.
 //
-// Commands reach it in log order on every replica, so `apply` is a function of
-// the state and the command alone. A refused command leaves nothing behind,
-// except that a refused call stays refused: its key is recorded as not run.
+// Every replica applies the same commands in log order, so `apply` must be a
+// deterministic function of the state and the command. A refused command
+// changes nothing, except that a refused call is recorded as not run under its
+// key, so that repeated requests with this key get the same refusal.
 #pragma once
 
 #include "base/ids.hpp"
@@ -15,11 +17,11 @@
 
 namespace heathtrestle::programs {
 
-/// What applying a command did.
+/// The result of applying a command.
 struct apply_result {
-  /// Set when the command was refused and changed nothing.
+  /// Set when the command was refused.
   std::optional<wire::Failure> refusal;
-  /// Calls that became final with this command, by key.
+  /// Keys of the calls that this command brought to a final state.
   std::vector<std::string> finished_keys;
 };
 
@@ -59,32 +61,37 @@
 wire::CallRecord *find_call(wire::ProgramRecord &program,
                             const std::string &key);
 
-/// @return null when no call has named the agent yet.
+/// @return null when the program has no record of the agent, which its first
+/// completed chat call creates.
 const wire::AgentRecord *find_agent(const wire::ProgramRecord &program,
                                     const std::string &name);
 
-/// Calls that count against the turn limit: all but those that did not run.
+/// Returns the number of calls that count against the turn limit, which is all
+/// except those that did not run.
 std::uint32_t count_turns(const wire::ProgramRecord &program);
 
-/// True for states that a call never leaves.
+/// Returns true for every state other than waiting and running.
 bool is_final(wire::CallState state);
 
-/// The waiting calls whose turn it is: the first unfinished call of each
-/// agent, unless it names a call to come after that is not final yet.
+/// Returns the waiting calls that may start now: the first unfinished call of
+/// each agent, unless the call that its `after` names is not final yet.
 std::vector<const wire::CallRecord *>
 runnable_calls(const wire::ProgramRecord &program);
 
-/// The prompt of a call: its agent's history and the call's own messages.
+/// Returns the messages of a call's prompt: its agent's history, unless the
+/// call replaces it, followed by the call's own messages.
 std::vector<std::string> prompt_of(const wire::ProgramRecord &program,
                                    const wire::CallRecord &call);
 
-/// The messages of `request` that its agent's history does not hold yet.
-/// @return a refusal when the conversation does not begin with the history.
+/// Removes the messages from `request` that its agent's history already holds.
+/// Changes only chat requests that extend the history.
+/// @return a refusal when the conversation does not begin with the history, or
+/// when an unfinished call of the agent may still change the history.
 std::optional<wire::Failure>
 reduce_to_new_messages(const wire::ProgramRecord &program,
                        wire::CallRequest &request);
 
-/// Builds a refusal: not run, and a retry does not help.
+/// Builds a failure of the commit step with status not run and no retry delay.
 wire::Failure refuse(std::string_view code, std::string message,
                      std::uint32_t http_status);
 
--- a/src/programs/reservation.cpp
+++ b/src/programs/reservation.cpp
@@ -9,9 +9,11 @@
 
 namespace {
 
-/// Tokens that the framing of an assistant's message adds to its text, at most.
+/// Upper bound on the tokens that the framing of an assistant message adds to
+/// its text.
 constexpr std::uint64_t message_framing_tokens = 40;
 
+/// Upper bound on the tokens in a text of `bytes` bytes, rounded up.
 std::uint64_t tokens_in(std::uint64_t bytes, std::uint32_t bytes_per_token) {
   return (bytes + bytes_per_token - 1) / bytes_per_token;
 }
--- a/src/programs/reservation.hpp
+++ b/src/programs/reservation.hpp
@@ -1,5 +1,5 @@
-// How much of a program's budget a call may cost at most, computed before it
-// runs, so that the budget holds whatever the engine does.
+// Budget reservations: an upper bound on the cost of a call, computed before
+// the call runs so that a program never spends more than its budget.
 #pragma once
 
 #include "config/objects.hpp"
@@ -11,24 +11,29 @@
 namespace heathtrestle::programs {
 
 struct reservation {
-  std::uint64_t amount = 0;            // micro-units
-  std::uint32_t max_output_tokens = 0; // clamped to what the budget allows
+  std::uint64_t amount = 0;            // in micro-units of budget
+  std::uint32_t max_output_tokens = 0; // limited by the budget
 };
 
-/// An upper bound on the prompt tokens of a call that is recorded now, the
-/// answers of unfinished earlier calls of its agent included.
+/// Returns an upper bound on the prompt tokens of a call that would be recorded
+/// now. It includes the messages and answers of the agent's unfinished calls,
+/// which will be part of the history when this call runs.
 std::uint64_t prompt_token_bound(const wire::ProgramRecord &program,
                                  const wire::CallRequest &request,
                                  std::uint32_t minimum_bytes_per_token);
 
-/// @param price micro-units a token.
-/// @return nothing when the budget does not allow even one output token.
+/// Computes the reservation of a chat call and lowers its output token limit to
+/// what the remaining budget covers.
+/// @param price in micro-units per token.
+/// @return nothing when the budget does not cover the prompt and one output
+/// token.
 std::optional<reservation> reserve_chat(const wire::ProgramRecord &program,
                                         const wire::CallRequest &request,
                                         const config::model_object &model,
                                         std::uint64_t price);
 
-/// What a finished chat call costs.
+/// Returns the cost of a finished chat call in micro-units.
+/// @param price in micro-units per token.
 std::uint64_t cost_of(const wire::Usage &usage, std::uint64_t price);
 
 } // namespace heathtrestle::programs
--- a/tests/programs/program_store_test.cpp
+++ b/tests/programs/program_store_test.cpp
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("budget_exhausted"),
                          store_.apply(record("b", 301)).refusal->code());
     store_.apply(start("a", 1));
-    // An engine that reports more than was reserved is not believed.
+    // A reported cost above the reservation is capped at the reservation.
     store_.apply(finish("a", 1, 5000));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{700}, program().spent());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, program().reserved());
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT(store_.apply(record("b", 200)).refusal.has_value());
     store_.apply(start("a", 1));
     store_.apply(finish("a", 1, 0));
-    // A copy of the refused request arrives when there is budget again.
+    // The refused request is repeated after budget has become available.
     store_.apply(record("b", 200));
     CPPUNIT_ASSERT(find_call(program(), "b")->state() == wire::CALL_NOT_RUN);
     CPPUNIT_ASSERT(runnable_calls(program()).empty());
