--- a/src/balance/admission_share.hpp
+++ b/src/balance/admission_share.hpp
@@ -1,5 +1,5 @@
 // Tracks the arc of the shared admission ring that this gateway owns, as
-// reported by the load board.
+// taken from the load reports.
 //
 // Each admission to a warming replica is a point on the ring, and a gateway
 // spends only the points on its own arc. Gateways can see different arcs while
--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -137,10 +137,10 @@
   void restart(std::size_t number) {
     gateways_[number].decides = make_(unit_(random_));
   }
-  void lose_board() { board_ = {}; }
-  /// Disconnects the first `count` gateways from the load board.
+  void lose_load_reports() { load_reports_ = {}; }
+  /// Disconnects the first `count` gateways from the load reports.
   void cut_off(std::size_t count) { cut_ = count; }
-  /// Moves the first `count` gateways to a separate load board.
+  /// Moves the first `count` gateways to a separate set of load reports.
   void split(std::size_t count) { split_ = count; }
 
   /// The maximum number of requests that one replica got in any second.
@@ -201,7 +201,8 @@
 
   void tell(std::size_t number) {
     member &own = gateways_[number];
-    records::load_reports &board = number < split_ ? split_board_ : board_;
+    records::load_reports &board =
+        number < split_ ? split_load_reports_ : load_reports_;
     own.next_report = now_ + report_interval;
     demand_ -= own.reported_demand;
     own.reported_demand = own.decides->demand(now_);
@@ -228,8 +229,8 @@
   std::mt19937_64 random_{4711};
   std::uniform_real_distribution<double> unit_{0, 1};
   std::vector<member> gateways_;
-  records::load_reports board_;
-  records::load_reports split_board_;
+  records::load_reports load_reports_;
+  records::load_reports split_load_reports_;
   std::deque<answer> answers_;
   std::array<std::vector<timestamp>, replicas> sent_;
   std::uint32_t demand_ = 0;
@@ -265,7 +266,7 @@
   CPPUNIT_TEST(a_gateway_without_reports_sends_nothing);
   CPPUNIT_TEST(stable_fleets_keep_the_bound_and_use_it);
   CPPUNIT_TEST(restarts_of_gateways_keep_the_bound);
-  CPPUNIT_TEST(a_change_of_load_board_keeps_the_bound);
+  CPPUNIT_TEST(replaced_load_reports_keep_the_bound);
   CPPUNIT_TEST(gateways_that_are_cut_off_keep_the_bound);
   CPPUNIT_TEST(two_load_boards_keep_the_bound);
   CPPUNIT_TEST(splitting_by_demand_exceeds_the_bound);
@@ -377,12 +378,12 @@
     assert_bound(all, slow_rate);
   }
 
-  void a_change_of_load_board_keeps_the_bound() {
+  void replaced_load_reports_keep_the_bound() {
     for (const double rate : {slow_rate, fast_rate}) {
       fleet all(340, assign_by_hash(rate));
       all.run(settling, demand);
       for (int change = 0; change < 4; ++change) {
-        all.lose_board();
+        all.lose_load_reports();
         all.run(duration_ms{2500}, demand);
       }
       CPPUNIT_ASSERT(all.max_in_second() <=
--- a/tests/tenants/quota_limit_property_test.cpp
+++ b/tests/tenants/quota_limit_property_test.cpp
@@ -39,7 +39,7 @@
             .burst = static_cast<double>(random() % 40)};
   }
 
-  static quota_faults draw_troubles(std::mt19937_64 &random) {
+  static quota_faults draw_faults(std::mt19937_64 &random) {
     const auto draw = [&random](std::uint64_t longest) {
       return duration_ms{static_cast<std::int64_t>(random() % longest)};
     };
@@ -69,7 +69,7 @@
       }
       break;
     default:
-      fleet.set_faults(draw_troubles(random));
+      fleet.set_faults(draw_faults(random));
       break;
     }
   }
@@ -80,7 +80,7 @@
       std::mt19937_64 random(seed);
       const request_quota quota = draw_quota(random);
       quota_fleet fleet(1 + random() % max_gateways, quota, seed,
-                        draw_troubles(random));
+                        draw_faults(random));
       for (int stretch = 0; stretch < 20; ++stretch) {
         const double times = static_cast<double>(random() % 8);
         fleet.run(duration_ms{static_cast<std::int64_t>(random() % 2000)},
@@ -100,7 +100,7 @@
       const request_quota before{.rate_per_second = 60, .burst = 60};
       const request_quota after{.rate_per_second = 10, .burst = 5};
       quota_fleet fleet(1 + random() % max_gateways, before, seed,
-                        draw_troubles(random));
+                        draw_faults(random));
       for (int stretch = 0; stretch < 6; ++stretch) {
         fleet.run(duration_ms{1500}, 200);
         inject_fault(fleet, random);
