--- a/tests/balance/slow_start_test.cpp
+++ b/tests/balance/slow_start_test.cpp
@@ -201,7 +201,7 @@
 
   void tell(std::size_t number) {
     member &own = gateways_[number];
-    records::load_reports &board =
+    records::load_reports &shared_reports =
         number < split_ ? split_load_reports_ : load_reports_;
     own.next_report = now_ + report_interval;
     demand_ -= own.reported_demand;
@@ -210,9 +210,9 @@
     wire::ReplicaLoads loads;
     loads.set_told_ms(milliseconds_of(now_));
     const std::string name = "10.0.0." + std::to_string(number);
-    board.update(name, loads, now_);
+    shared_reports.update(name, loads, now_);
     answers_.push_back({.gateway = number,
-                        .loads = board.loads_of_others(name, now_),
+                        .loads = shared_reports.loads_of_others(name, now_),
                         .others = demand_ - own.reported_demand,
                         .due = now_ + duration_ms{20}});
   }
--- a/tests/balance/stale_loads_test.cpp
+++ b/tests/balance/stale_loads_test.cpp
@@ -80,7 +80,7 @@
   std::exponential_distribution<double> gap(
       load * slots * static_cast<double>(engine_count) / turn_ms);
   std::exponential_distribution<double> length(1 / turn_ms);
-  records::load_reports board;
+  records::load_reports shared_reports;
   std::vector<gateway_view> views(gateways);
   for (gateway_view &view : views) {
     view.own.assign(engine_count, 0);
@@ -103,8 +103,8 @@
     gateway_view &view = views[gateway];
     if (now >= view.next_report) {
       const std::string name = std::to_string(gateway);
-      board.update(name, loads_of(view), now);
-      take(view, board.loads_of_others(name, now), now);
+      shared_reports.update(name, loads_of(view), now);
+      take(view, shared_reports.loads_of_others(name, now), now);
       view.next_report = now + duration_ms{report_interval_ms};
     }
     const std::size_t engine = choose(view, now, random());
