--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -59,14 +59,14 @@
     relay_.on_read(configuration_, members_, event.configuration_read(), step);
     break;
   case wire::Event::kFoundingRead:
-    take_founding(event.founding_read(), step);
+    apply_founding(event.founding_read(), step);
     announce_founding(step);
     break;
   case wire::Event::kStatusAsked: {
     const wire::StatusAsked &asked = event.status_asked();
     wire::StatusReply &reply =
         *step.add().mutable_status_ready()->mutable_reply();
-    answer_status(asked.query(), asked.calls(), asked.limit(), step, reply);
+    fill_status_reply(asked.query(), asked.calls(), asked.limit(), step, reply);
     for (const wire::Member *member : members_.running()) {
       if (node_id{member->node()} == members_.self_id()) {
         continue;
@@ -96,7 +96,7 @@
 void node::reduce_tick(step &step) {
   detector_.tick(members_, step);
   relay_.tick(members_, step);
-  found_cluster(step);
+  propose_founding(step);
   auto partition_view = partition_view_of(step);
   partitions_.tick(partition_view);
   auto dispatch_view = dispatch_view_of(step);
@@ -111,9 +111,9 @@
   const bool for_other_process =
       envelope.to_boot() != 0 && envelope.to_boot() != own_boot;
   if (for_other_process) {
-    return; // meant for an earlier process of this node
+    return; // addressed to an earlier process of this node
   }
-  take_news(envelope, step);
+  merge_gossip(envelope, step);
   reduce_peer_message(envelope, step);
 }
 
@@ -132,7 +132,7 @@
   case wire::Envelope::kMembershipSync:
     detector_.handle(envelope, envelope.membership_sync(), members_, step);
     if (envelope.membership_sync().has_founding()) {
-      take_founding(envelope.membership_sync().founding(), step);
+      apply_founding(envelope.membership_sync().founding(), step);
     }
     return;
   case wire::Envelope::kConfigurationDelta:
@@ -185,8 +185,8 @@
   case wire::Envelope::kStatusQuery: {
     const wire::StatusQuery &query = envelope.status_query();
     wire::Envelope reply;
-    answer_status(query.query(), query.calls(), query.limit(), step,
-                  *reply.mutable_status_reply());
+    fill_status_reply(query.query(), query.calls(), query.limit(), step,
+                      *reply.mutable_status_reply());
     step.send(sender, std::move(reply));
     return;
   }
@@ -204,7 +204,7 @@
   }
 }
 
-void node::take_news(const wire::Envelope &envelope, step &step) {
+void node::merge_gossip(const wire::Envelope &envelope, step &step) {
   const node_id sender{envelope.from()};
   for (const wire::Member &member : envelope.members()) {
     members_.merge(member, step);
@@ -220,7 +220,7 @@
   }
 }
 
-void node::found_cluster(step &step) {
+void node::propose_founding(step &step) {
   if (members_.founding().has_value() || step.now() < next_founding_) {
     return;
   }
@@ -234,8 +234,8 @@
   if (!enough) {
     return;
   }
-  // One proposer at a time spares the platform; two would do no harm, since
-  // the platform takes only the first proposal.
+  // A single proposer saves requests to the platform. Concurrent proposals are
+  // harmless, because the platform accepts only the first one.
   const bool is_first = node_id{holders.front()->node()} == members_.self_id();
   if (!is_first) {
     return;
@@ -249,7 +249,7 @@
   }
 }
 
-void node::take_founding(const wire::Founding &founding, step &step) {
+void node::apply_founding(const wire::Founding &founding, step &step) {
   if (members_.founding().has_value()) {
     return;
   }
@@ -281,9 +281,9 @@
   const bool idle = dispatch_.running() == 0 && dispatch_.waiting() == 0 &&
                     gateway_.size() == 0;
   const bool holds_nothing = partitions_.voting_count() == 0;
-  const bool patience_over =
+  const bool limit_reached =
       step.now() - drain_started_ >= options_.drain_limit;
-  if ((idle && holds_nothing) || patience_over) {
+  if ((idle && holds_nothing) || limit_reached) {
     drained_ = true;
     auto gateway_view = gateway_view_of(step);
     gateway_.give_up_all(gateway_view);
@@ -294,13 +294,15 @@
       step.send(node_id{member->node()}, std::move(envelope));
     }
     step.log(logging::event::drain_finished,
-             patience_over ? "the drain limit was reached" : "all handed over");
+             limit_reached ? "the drain limit was reached"
+                           : "no requests, connections or replicas remain");
     step.add().mutable_drain_done();
   }
 }
 
-void node::answer_status(std::uint64_t query, bool calls, std::uint32_t limit,
-                         step &step, wire::StatusReply &reply) {
+void node::fill_status_reply(std::uint64_t query, bool calls,
+                             std::uint32_t limit, step &step,
+                             wire::StatusReply &reply) {
   reply.set_query(query);
   wire::NodeRow &row = *reply.mutable_node();
   row.set_name(members_.self().name());
@@ -332,11 +334,12 @@
     envelope.set_from(members_.self_id().value());
     envelope.set_from_boot(members_.self().boot());
     envelope.set_configuration_revision(configuration_.revision());
-    // Only messages to random peers carry news: heartbeats would spend its
-    // few transmissions on the same peers over and over.
-    const bool carries_news = message.to() != members_.self_id().value() &&
-                              (envelope.has_ping() || envelope.has_ack());
-    if (carries_news) {
+    // Gossip is attached only to pings and acks, which go to random peers. Each
+    // item is sent a limited number of times, and heartbeats would use these up
+    // on the same few peers.
+    const bool carries_gossip = message.to() != members_.self_id().value() &&
+                                (envelope.has_ping() || envelope.has_ack());
+    if (carries_gossip) {
       members_.attach_gossip(envelope);
     }
   }
--- a/src/core/node.hpp
+++ b/src/core/node.hpp
@@ -1,12 +1,12 @@
-// One daemon's state and the reducer over all its events.
+// The state machine of one daemon: membership, configuration, partitions,
+// dispatch and the gateway role, changed only by events.
 //
-// `reduce` does no I/O, reads no clock and draws no randomness of its own, so
-// the daemon, the simulator, replay and the capacity measurements all run the
-// same code.
+// `reduce` performs no I/O, and the time and the random numbers come with the
+// event. The daemon, the simulator and replay therefore run the same code.
 //
-// The state is a set of tables, each under its own lock. A reduction takes the
-// locks of the tables its event needs, always in the order in which the
-// `table` enumerators stand, so workers cannot deadlock.
+// Each table of the state has its own lock. A reduction acquires the locks of
+// the tables that its event needs in the order of the `table` enumerators, so
+// concurrent reductions cannot deadlock.
 #pragma once
 
 #include "cluster/partition_table.hpp"
@@ -30,7 +30,7 @@
 using effects::effect_list;
 using effects::step;
 
-/// The tables in the order in which their locks are taken.
+/// The tables of the state, in lock order.
 enum class table : std::uint8_t {
   configuration,
   membership,
@@ -47,11 +47,14 @@
   gateway::gateway_options gateway;
   config::relay_options relay;
   std::vector<std::string> seeds;
-  /// The cluster is founded once this many members know each other.
+  /// The founding is proposed once the proposer knows this many running members
+  /// that hold partitions.
   std::size_t founding_members = 3;
   std::uint32_t partition_count = 16;
   std::uint32_t replication = 3;
+  /// Minimum time between two attempts to propose the founding.
   duration_ms founding_interval{2000};
+  /// A drain ends after this long even if requests or replicas remain.
   duration_ms drain_limit{30000};
 };
 
@@ -71,23 +74,24 @@
 public:
   node(wire::Member self, node_options options);
 
-  /// Takes one event to the effects it has. Safe to call from any thread.
+  /// Processes one event and returns its effects. Safe to call from any thread.
   effect_list reduce(const wire::Event &event);
 
   /// True once the cluster is founded and every partition has a known leader.
   [[nodiscard]] bool ready();
   [[nodiscard]] node_counts counts();
-  /// The partition that holds a program; nothing before the founding.
+  /// The partition that holds a program; nothing until the cluster is founded.
   [[nodiscard]] std::optional<partition_id>
   partition_for(const std::string &program);
 
-  /// Runs `action` on the configuration under its lock.
+  /// Calls `action` with the configuration while holding its lock.
   template <typename Action> auto with_configuration(Action action) {
     const std::scoped_lock lock(lock_of(table::configuration));
     return action(std::as_const(configuration_));
   }
 
-  /// The tables, for tests and checkers that run without other threads.
+  /// Unlocked access to the tables, for tests and checkers that run without
+  /// other threads.
   [[nodiscard]] const config::configuration_store &configuration() const {
     return configuration_;
   }
@@ -112,13 +116,19 @@
   void reduce_tick(step &step);
   void reduce_received(const wire::Envelope &envelope, step &step);
   void reduce_peer_message(const wire::Envelope &envelope, step &step);
-  void take_news(const wire::Envelope &envelope, step &step);
-  void found_cluster(step &step);
-  void take_founding(const wire::Founding &founding, step &step);
+  /// Merges the member list entries, leader hints and configuration revision
+  /// that every message can carry.
+  void merge_gossip(const wire::Envelope &envelope, step &step);
+  /// Proposes the founding of the cluster to the platform when this node is the
+  /// first of the known partition holders and enough of them are running.
+  void propose_founding(step &step);
+  void apply_founding(const wire::Founding &founding, step &step);
   void announce_founding(step &step);
   void tick_drain(step &step);
-  void answer_status(std::uint64_t query, bool calls, std::uint32_t limit,
-                     step &step, wire::StatusReply &reply);
+  void fill_status_reply(std::uint64_t query, bool calls, std::uint32_t limit,
+                         step &step, wire::StatusReply &reply);
+  /// Fills in the sender, the receiver's address, the configuration revision
+  /// and the gossip of all messages among the effects.
   void complete_messages(effect_list &effects);
 
   cluster::partition_view partition_view_of(step &step);
--- a/src/core/table_locks.cpp
+++ b/src/core/table_locks.cpp
@@ -15,8 +15,9 @@
 } // namespace
 
 table_set tables_needed(const wire::Event &event) {
-  // Configuration and membership are always needed: every outgoing message
-  // carries this node's revision, its news and the receiver's address.
+  // Configuration and membership are always needed to complete outgoing
+  // messages with the configuration revision, gossip and the receiver's
+  // address.
   static const table_set base =
       set_of({table::configuration, table::membership});
   static const table_set with_gateway = base | set_of({table::gateway});
--- a/src/core/table_locks.hpp
+++ b/src/core/table_locks.hpp
@@ -1,5 +1,5 @@
-// Which tables an event's reduction touches, and a guard that locks them in
-// their stated order.
+// Determines which tables the reduction of an event uses, and locks them in the
+// order of the `table` enumerators.
 #pragma once
 
 #include "core/node.hpp"
