--- a/src/gateway/pending_table.cpp
+++ b/src/gateway/pending_table.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// The same request without the content of its call.
-wire::ClientRequest reminder_of(const wire::ClientRequest &request) {
+/// A copy of the request without the content of its call.
+wire::ClientRequest make_reminder(const wire::ClientRequest &request) {
   wire::ClientRequest reminder;
   reminder.set_request_id(request.request_id());
   reminder.set_partition(request.partition());
@@ -37,7 +37,7 @@
           ? options_.default_time_limit
           : duration_ms{static_cast<std::int64_t>(arrived.time_limit_ms())};
   waiting.deadline = view.step.now() + limit;
-  waiting.resend_pause = options_.resend_interval;
+  waiting.resend_delay = options_.resend_interval;
   send(view, waiting);
 }
 
@@ -49,7 +49,7 @@
                              const wire::ClientReply &reply) {
   const auto found = pending_.find(reply.request_id());
   if (found == pending_.end()) {
-    return; // answered already, or the caller has gone
+    return; // already answered, or the client has disconnected
   }
   if (reply.has_redirect()) {
     if (view.members.merge(reply.redirect())) {
@@ -58,7 +58,7 @@
     return;
   }
   if (reply.send_whole()) {
-    found->second.sent_whole_to = 0;
+    found->second.full_request_term = 0;
     send(view, found->second);
     return;
   }
@@ -80,15 +80,15 @@
     waiting.attempt_text.clear();
   }
   if (chunk.offset() > waiting.attempt_text.size()) {
-    return; // a chunk is missing; the final answer is whole
+    return; // a chunk is missing; the final reply has the complete text
   }
   const std::size_t known = waiting.attempt_text.size() - chunk.offset();
   if (known >= chunk.text().size()) {
     return;
   }
   waiting.attempt_text += chunk.text().substr(known);
-  // A retried attempt may word its answer anew: only text that continues what
-  // the caller has already been sent is passed on.
+  // A retried attempt may generate different text. Only text that continues
+  // what the client has already received is streamed.
   const bool continues = waiting.attempt_text.starts_with(waiting.streamed);
   if (!continues || waiting.attempt_text.size() == waiting.streamed.size()) {
     return;
@@ -104,14 +104,14 @@
   const timestamp now = view.step.now();
   std::vector<std::string> given_up;
   for (auto &[request_id, waiting] : pending_) {
-    const bool never_left =
+    const bool never_sent =
         !waiting.ever_sent && now - waiting.arrived >= options_.not_ready_limit;
-    if (now >= waiting.deadline || never_left) {
+    if (now >= waiting.deadline || never_sent) {
       give_up(view, request_id, waiting);
       given_up.push_back(request_id);
-    } else if (now - waiting.last_sent >= waiting.resend_pause) {
-      waiting.resend_pause =
-          std::min(2 * waiting.resend_pause, options_.longest_resend_interval);
+    } else if (now - waiting.last_sent >= waiting.resend_delay) {
+      waiting.resend_delay =
+          std::min(2 * waiting.resend_delay, options_.max_resend_interval);
       send(view, waiting);
     }
   }
@@ -135,7 +135,7 @@
   if (leader.has_value()) {
     target = node_id{leader->node()};
   } else {
-    // Some other member may know the leader and redirect, or be it.
+    // A random member may be the leader, or redirect to it.
     const auto running = view.members.running();
     if (running.size() < 2 || view.members.partitions() == 0) {
       return;
@@ -145,15 +145,15 @@
   waiting.ever_sent = true;
   wire::Envelope envelope;
   wire::ClientRequest &request = *envelope.mutable_client_request();
-  const bool has_whole =
-      leader.has_value() && waiting.sent_whole_to == leader->term();
-  if (waiting.request.has_submit_call() && has_whole) {
-    // The leader of this term should have it; only its key is sent again, so
-    // that waiting callers do not multiply the load that makes them wait.
-    request = reminder_of(waiting.request);
+  const bool has_full_request =
+      leader.has_value() && waiting.full_request_term == leader->term();
+  if (waiting.request.has_submit_call() && has_full_request) {
+    // The leader of this term should have the full request. Sending only the
+    // key keeps resends from adding to the load of a slow leader.
+    request = make_reminder(waiting.request);
   } else {
     request = waiting.request;
-    waiting.sent_whole_to = leader.has_value() ? leader->term() : 0;
+    waiting.full_request_term = leader.has_value() ? leader->term() : 0;
   }
   view.step.send(target, std::move(envelope));
 }
@@ -172,11 +172,12 @@
   failure.set_peer(fmt::format("partition {}", waiting.request.partition()));
   failure.set_message(
       waiting.ever_sent
-          ? "no answer in time; ask again with the same key for the outcome"
+          ? "no reply in time; repeat the request with the same key to get its "
+            "outcome"
           : "the partition has no leader yet; nothing was sent");
-  // A key that the caller chose may have been sent by another gateway before.
-  const bool surely_not_run = !waiting.ever_sent && waiting.key_is_fresh;
-  failure.set_ran(surely_not_run ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN);
+  // Another gateway may have sent a request with a key chosen by the client.
+  const bool known_not_run = !waiting.ever_sent && waiting.key_is_fresh;
+  failure.set_ran(known_not_run ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN);
   failure.set_retry_after_ms(options_.retry_after_ms);
   view.step.log(logging::event::gateway_gave_up, request_id);
 }
--- a/src/gateway/pending_table.hpp
+++ b/src/gateway/pending_table.hpp
@@ -1,6 +1,7 @@
-// The gateway role: requests of open connections, asked of the leader of their
-// partition again and again until a final answer comes or patience ends.
-// Repeating is safe because every request carries its own key.
+// The pending client requests of a gateway. Each is resent to the leader of its
+// partition, with exponential backoff, until a final reply arrives or its
+// deadline passes. Resending is safe because every request has an idempotency
+// key.
 #pragma once
 
 #include "base/ids.hpp"
@@ -16,11 +17,11 @@
 
 struct gateway_options {
   duration_ms resend_interval{700};
-  /// Each time nothing comes back the pause doubles, up to this.
-  duration_ms longest_resend_interval{2800};
-  /// A request that could not be sent to any leader is refused after this.
+  /// The resend interval doubles with every resend, up to this.
+  duration_ms max_resend_interval{2800};
+  /// A request that could not be sent to any node fails after this.
   duration_ms not_ready_limit{6000};
-  /// A request without a time limit of its own is given up after this.
+  /// Time limit of requests that specify none.
   duration_ms default_time_limit{120000};
   std::uint64_t retry_after_ms = 1000;
 };
@@ -39,7 +40,7 @@
   void on_reply(gateway_view &view, const wire::ClientReply &reply);
   void on_chunk(gateway_view &view, const wire::StreamChunk &chunk);
   void tick(gateway_view &view);
-  /// Gives every open request its final answer, for a stop that cannot wait.
+  /// Fails all pending requests, when the node stops without waiting for them.
   void give_up_all(gateway_view &view);
 
   [[nodiscard]] std::size_t size() const { return pending_.size(); }
@@ -51,16 +52,20 @@
     timestamp deadline{};
     timestamp last_sent{};
     bool ever_sent = false;
-    /// The term of the leader that was sent the whole request; 0: none.
-    std::uint64_t sent_whole_to = 0;
-    duration_ms resend_pause{};
-    bool key_is_fresh = false;  // made here, so nobody else can have sent it
-    std::string streamed;       // what the caller has been sent
-    std::string engine_request; // attempt that chunks are taken from
-    std::string attempt_text;   // what came of that attempt
+    /// Term of the leader that the full request was sent to; 0 if none.
+    std::uint64_t full_request_term = 0;
+    duration_ms resend_delay{};
+    /// The key was generated for this request, so no other gateway can have
+    /// sent it.
+    bool key_is_fresh = false;
+    std::string streamed;       // text sent to the client
+    std::string engine_request; // attempt that the last chunk came from
+    std::string attempt_text;   // text received from that attempt
   };
 
-  /// Sends the request, as a reminder where the leader should have it.
+  /// Sends the request to the leader, or to a random member while the leader is
+  /// unknown. A call is sent as a reminder, without its content, to a leader
+  /// that has been sent the full request before.
   void send(gateway_view &view, pending &waiting);
   void give_up(gateway_view &view, const std::string &request_id,
                const pending &waiting);
--- a/tests/gateway/pending_table_test.cpp
+++ b/tests/gateway/pending_table_test.cpp
@@ -9,13 +9,13 @@
 
 class pending_table_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(pending_table_test);
-  CPPUNIT_TEST(asks_the_leader_again_until_answered);
-  CPPUNIT_TEST(a_redirect_is_followed_at_once);
-  CPPUNIT_TEST(what_was_sent_whole_is_only_reminded_of);
-  CPPUNIT_TEST(not_run_is_said_only_of_what_never_left);
-  CPPUNIT_TEST(a_key_of_the_callers_may_have_been_sent_elsewhere);
-  CPPUNIT_TEST(text_is_passed_on_once_and_in_order);
-  CPPUNIT_TEST(a_retry_with_other_words_is_not_mixed_in);
+  CPPUNIT_TEST(resends_to_the_leader_until_answered);
+  CPPUNIT_TEST(follows_a_redirect_immediately);
+  CPPUNIT_TEST(resends_only_a_reminder_after_the_full_request);
+  CPPUNIT_TEST(reports_not_run_only_for_requests_never_sent);
+  CPPUNIT_TEST(a_key_chosen_by_the_client_may_have_been_sent_elsewhere);
+  CPPUNIT_TEST(streams_text_once_and_in_order);
+  CPPUNIT_TEST(does_not_stream_a_retry_with_different_text);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -25,8 +25,8 @@
     table_ = std::make_unique<pending_table>(gateway_options{});
   }
 
-  void asks_the_leader_again_until_answered() {
-    know_leader("leader", 1);
+  void resends_to_the_leader_until_answered() {
+    set_leader("leader", 1);
     tests::step_fixture first(1000);
     arrive(first, false);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.sent().size());
@@ -42,8 +42,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table_->size());
   }
 
-  void a_redirect_is_followed_at_once() {
-    know_leader("old", 1);
+  void follows_a_redirect_immediately() {
+    set_leader("old", 1);
     tests::step_fixture first(1000);
     arrive(first, false);
     tests::step_fixture second(1010);
@@ -58,15 +58,15 @@
                          second.effects().back().send().to());
   }
 
-  void what_was_sent_whole_is_only_reminded_of() {
-    know_leader("leader", 1);
+  void resends_only_a_reminder_after_the_full_request() {
+    set_leader("leader", 1);
     tests::step_fixture first(1000);
     arrive(first, false);
     CPPUNIT_ASSERT(!first.sent()[0].client_request().submit_call().reminder());
     tests::step_fixture second(2000);
     tick(second);
     CPPUNIT_ASSERT(second.sent()[0].client_request().submit_call().reminder());
-    // The whole request was lost on its way: the leader asks for it.
+    // The full request was lost, and the leader requests it.
     tests::step_fixture third(2100);
     wire::ClientReply unknown;
     unknown.set_request_id("r");
@@ -74,39 +74,39 @@
     gateway_view view{third.step(), *members_};
     table_->on_reply(view, unknown);
     CPPUNIT_ASSERT(!third.sent()[0].client_request().submit_call().reminder());
-    // Another leader has not been sent it at all.
-    know_leader("next", 2);
+    // A new leader has not been sent the full request.
+    set_leader("next", 2);
     tests::step_fixture fourth(9000);
     tick(fourth);
     CPPUNIT_ASSERT(!fourth.sent()[0].client_request().submit_call().reminder());
   }
 
-  void not_run_is_said_only_of_what_never_left() {
+  void reports_not_run_only_for_requests_never_sent() {
     tests::step_fixture first(1000);
     arrive(first, true);
     tests::step_fixture late(8000);
     tick(late);
-    CPPUNIT_ASSERT(given_up(late).ran() == wire::RAN_NOT_RUN);
-    CPPUNIT_ASSERT(given_up(late).retry_after_ms() > 0);
+    CPPUNIT_ASSERT(failure_sent(late).ran() == wire::RAN_NOT_RUN);
+    CPPUNIT_ASSERT(failure_sent(late).retry_after_ms() > 0);
 
-    know_leader("leader", 1);
+    set_leader("leader", 1);
     tests::step_fixture again(9000);
     arrive(again, true);
     tests::step_fixture much_later(9000 + 130000);
     tick(much_later);
-    CPPUNIT_ASSERT(given_up(much_later).ran() == wire::RAN_UNKNOWN);
+    CPPUNIT_ASSERT(failure_sent(much_later).ran() == wire::RAN_UNKNOWN);
   }
 
-  void a_key_of_the_callers_may_have_been_sent_elsewhere() {
+  void a_key_chosen_by_the_client_may_have_been_sent_elsewhere() {
     tests::step_fixture first(1000);
     arrive(first, false);
     tests::step_fixture late(8000);
     tick(late);
-    CPPUNIT_ASSERT(given_up(late).ran() == wire::RAN_UNKNOWN);
+    CPPUNIT_ASSERT(failure_sent(late).ran() == wire::RAN_UNKNOWN);
   }
 
-  void text_is_passed_on_once_and_in_order() {
-    know_leader("leader", 1);
+  void streams_text_once_and_in_order() {
+    set_leader("leader", 1);
     tests::step_fixture fixture(1000);
     arrive(fixture, false);
     chunk(fixture, "a/1", 0, "one ");
@@ -116,8 +116,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("one two "), streamed(fixture));
   }
 
-  void a_retry_with_other_words_is_not_mixed_in() {
-    know_leader("leader", 1);
+  void does_not_stream_a_retry_with_different_text() {
+    set_leader("leader", 1);
     tests::step_fixture fixture(1000);
     arrive(fixture, false);
     chunk(fixture, "a/1", 0, "one ");
@@ -127,7 +127,7 @@
   }
 
 private:
-  void know_leader(const std::string &name, std::uint64_t term) {
+  void set_leader(const std::string &name, std::uint64_t term) {
     wire::LeaderHint hint;
     hint.set_partition(0);
     hint.set_term(term);
@@ -172,13 +172,13 @@
     return text;
   }
 
-  static wire::Failure given_up(tests::step_fixture &fixture) {
+  static wire::Failure failure_sent(tests::step_fixture &fixture) {
     for (const wire::Effect &effect : fixture.effects()) {
       if (effect.has_reply_to_client()) {
         return effect.reply_to_client().reply().failure();
       }
     }
-    CPPUNIT_FAIL("no final answer was given");
+    CPPUNIT_FAIL("no final reply was sent");
     return {};
   }
 
