--- a/src/gateway/pending_table.hpp
+++ b/src/gateway/pending_table.hpp
@@ -1,7 +1,7 @@
 // The pending client requests of a gateway. Each is resent to the leader of its
 // partition, with exponential backoff, until a final reply arrives or its
-// deadline passes. Resending is safe because every request has an idempotency
-// key.
+// deadline passes. Resending is safe for calls because each has an
+// idempotency key.
 #pragma once
 
 #include "base/ids.hpp"
