--- a/src/daemon/api.cpp
+++ b/src/daemon/api.cpp
@@ -17,8 +17,9 @@
 namespace {
 
 constexpr std::uint32_t status_created = 201;
-/// Longest wait for the reducer's own answer, which has a limit of its own.
-constexpr std::chrono::minutes answer_patience{30};
+/// How long a request waits for a message from the reducer. The reducer
+/// enforces its own, separate time limit.
+constexpr std::chrono::minutes reply_timeout{30};
 
 std::vector<std::string> segments_of(const std::string &path) {
   std::vector<std::string> segments;
@@ -42,7 +43,9 @@
           .retry_after = std::chrono::milliseconds(1000)};
 }
 
-/// Hands a request to the reducer and waits for what comes back.
+/// Submits a request to the reducer and receives its replies. If it is
+/// destroyed before the final reply, it reports to the reducer that the client
+/// is gone.
 class pending_request {
 public:
   pending_request(daemon_runtime &runtime, wire::ClientRequest request,
@@ -68,13 +71,14 @@
 
   std::optional<client_message> next() {
     auto message = handle_.mailbox().pop_until(
-        std::chrono::steady_clock::now() + answer_patience);
+        std::chrono::steady_clock::now() + reply_timeout);
     answered_ = message.has_value() &&
                 std::holds_alternative<wire::ReplyToClient>(*message);
     return message;
   }
 
-  /// Waits for the final answer and skips streamed text.
+  /// Waits for the final reply and discards streamed text. Returns a failure
+  /// with code `internal` on timeout.
   wire::ClientReply final_reply() {
     while (auto message = next()) {
       if (auto *reply = std::get_if<wire::ReplyToClient>(&*message)) {
@@ -98,7 +102,8 @@
   return status;
 }
 
-/// The partition of a program in a request, or that there is none yet.
+/// Returns a request addressed to the program's partition, or a `not_ready`
+/// error while the cluster has no partitions yet.
 result<wire::ClientRequest> request_for(daemon_runtime &runtime,
                                         const std::string &program) {
   const auto partition = runtime.node().partition_for(program);
@@ -165,8 +170,8 @@
          reply.outcome().call().state() == wire::CALL_COMPLETED;
 }
 
-std::uint32_t answer_whole(http::exchange &exchange,
-                           const wire::ClientReply &reply) {
+std::uint32_t send_reply(http::exchange &exchange,
+                         const wire::ClientReply &reply) {
   if (!completed(reply)) {
     return respond(exchange, failure_response(failure_of(reply)));
   }
@@ -176,7 +181,9 @@
                                          : tool_result_json(reply.outcome())));
 }
 
-/// Sends what the stream lacks of the whole answer, and its end.
+/// Sends the rest of the completed answer and ends the stream. Sends an error
+/// event instead if the call failed or its answer doesn't begin with the text
+/// that was already streamed.
 void finish_stream(http::exchange &exchange, const wire::ClientReply &reply,
                    const std::string &sent) {
   if (!completed(reply)) {
@@ -207,9 +214,8 @@
   exchange.finish_stream();
 }
 
-std::uint32_t answer_streamed(http::exchange &exchange,
-                              pending_request &pending,
-                              const wire::CallRequest &call) {
+std::uint32_t stream_reply(http::exchange &exchange, pending_request &pending,
+                           const wire::CallRequest &call) {
   std::string sent;
   bool started = false;
   const auto start = [&] {
@@ -222,18 +228,18 @@
   while (auto message = pending.next()) {
     if (const auto *part = std::get_if<wire::StreamToClient>(&*message)) {
       if (part->offset() != sent.size()) {
-        continue; // the final answer fills the gap
+        continue; // the final reply contains the missing text
       }
       start();
       sent += part->text();
       if (!exchange.write(
               completion_chunk(call.key(), call.target(), part->text(), ""))) {
-        return 200; // the caller has gone; it may come back with its key
+        return 200; // the client disconnected; it can retry with the same key
       }
     } else if (const auto *reply =
                    std::get_if<wire::ReplyToClient>(&*message)) {
       if (!started && !completed(reply->reply())) {
-        return answer_whole(exchange, reply->reply());
+        return send_reply(exchange, reply->reply());
       }
       start();
       finish_stream(exchange, reply->reply(), sent);
@@ -257,13 +263,13 @@
                           call.value().time_limit_ms,
                           call.value().key_is_fresh);
   if (call.value().stream) {
-    return answer_streamed(exchange, pending, call.value().submit.call());
+    return stream_reply(exchange, pending, call.value().submit.call());
   }
-  return answer_whole(exchange, pending.final_reply());
+  return send_reply(exchange, pending.final_reply());
 }
 
 struct routed {
-  std::string route; // the pattern, for metrics
+  std::string route; // path pattern, used as a metrics label
   std::uint32_t status;
 };
 
--- a/src/daemon/api.hpp
+++ b/src/daemon/api.hpp
@@ -1,4 +1,4 @@
-// The HTTP interface of callers and operators; docs/openapi.yaml describes it.
+// The HTTP API for callers and operators, described in docs/openapi.yaml.
 #pragma once
 
 #include "http/server.hpp"
@@ -7,7 +7,7 @@
 
 class daemon_runtime;
 
-/// Routes one request. Runs on a fiber of its own.
+/// Routes one request to its handler. Runs on a separate fiber per request.
 void handle_request(daemon_runtime &runtime, http::exchange &exchange);
 
 } // namespace heathtrestle::daemon
--- a/src/daemon/api_requests.cpp
+++ b/src/daemon/api_requests.cpp
@@ -114,7 +114,7 @@
       "header Heathtrestle-History: expected extend, append or replace");
 }
 
-/// Fills in what chat and tool calls have in common.
+/// Parses the fields and headers that chat and tool calls share.
 result<parsed_call> read_common(const http::request &request,
                                 const std::string &program,
                                 const std::string &fallback_key) {
--- a/src/daemon/api_requests.hpp
+++ b/src/daemon/api_requests.hpp
@@ -1,4 +1,4 @@
-// Reads callers' requests and checks them before anything is sent on.
+// Parses and validates callers' HTTP requests.
 #pragma once
 
 #include "base/error.hpp"
@@ -11,33 +11,34 @@
 
 namespace heathtrestle::daemon {
 
-/// A chat or tool call with what concerns only its connection.
+/// A chat or tool call with the options that apply only to this request.
 struct parsed_call {
   wire::SubmitCall submit;
   bool stream = false;
-  bool key_is_fresh = false;       // the caller gave no key
-  std::uint64_t time_limit_ms = 0; // 0: none
+  bool key_is_fresh = false;       // the request had no idempotency key
+  std::uint64_t time_limit_ms = 0; // 0: no limit
 };
 
-/// Reads `POST /v1/programs`.
-/// @param fallback_id the program's id when the request has no key.
+/// Parses `POST /v1/programs`.
+/// @param fallback_id the program's id if the request has no idempotency key.
 result<wire::CreateProgram>
 read_create_program(const http::request &request,
                     const config::configuration_store &configuration,
                     const std::string &fallback_id);
 
-/// Reads `POST /v1/chat/completions`.
+/// Parses `POST /v1/chat/completions`.
+/// @param fallback_key the call's key if the request has no idempotency key.
 result<parsed_call> read_chat_call(const http::request &request,
                                    const std::string &fallback_key);
 
-/// Reads `POST /v1/programs/{program}/tools/{tool}`.
+/// Parses `POST /v1/programs/{program}/tools/{tool}`.
 result<parsed_call> read_tool_call(const http::request &request,
                                    const std::string &program,
                                    const std::string &tool,
                                    const std::string &fallback_key);
 
-/// A JSON text with the fields of every object in alphabetical order, so that
-/// equal messages are equal texts.
+/// Serializes a JSON text again with the fields of every object sorted, so that
+/// equal messages compare equal as strings.
 std::string canonical_json(const std::string &text);
 
 } // namespace heathtrestle::daemon
--- a/src/daemon/client_registry.hpp
+++ b/src/daemon/client_registry.hpp
@@ -1,5 +1,5 @@
-// The open requests of this process: where replies, text and status rows of
-// the reducer find the fiber that waits for them.
+// Registry of the open client requests of this process. It routes replies,
+// streamed text and status rows to the fiber that waits for them.
 #pragma once
 
 #include "runtime/mailbox.hpp"
@@ -14,7 +14,7 @@
 
 namespace heathtrestle::daemon {
 
-/// What a waiting request can be told.
+/// A message to the fiber that waits for a request.
 using client_message =
     std::variant<wire::ReplyToClient, wire::StreamToClient, wire::StatusReply>;
 using client_mailbox = runtime::mailbox<client_message>;
@@ -38,7 +38,8 @@
     std::shared_ptr<client_mailbox> mailbox_;
   };
 
-  /// Messages for requests that are gone are dropped.
+  /// Puts a message into the mailbox of a request. Messages for requests that
+  /// are no longer registered are dropped.
   void deliver(const std::string &id, client_message message);
 
 private:
--- a/src/daemon/daemon_settings.hpp
+++ b/src/daemon/daemon_settings.hpp
@@ -1,5 +1,5 @@
-// The settings of heathtrestled. docs/SETTINGS.md lists every key; a test
-// holds the two together.
+// The settings of heathtrestled. A test checks that docs/SETTINGS.md lists
+// every key.
 #pragma once
 
 #include "config/settings_schema.hpp"
@@ -42,17 +42,17 @@
   std::string trace_file;
 };
 
-/// The roles that a daemon can have.
+/// Values of the setting `node.roles`.
 inline constexpr std::string_view gateway_role = "gateway";
 inline constexpr std::string_view partitions_role = "partitions";
 
 bool has_role(const daemon_settings &settings, std::string_view role);
 
-/// Binds every key to its variable.
+/// Registers every setting with its key, default, bounds and help text.
 void describe_settings(config::settings_schema &schema,
                        daemon_settings &settings);
 
-/// The reducer's options that follow from the settings.
+/// Derives the reducer's options from the settings.
 core::node_options node_options_of(const daemon_settings &settings);
 
 } // namespace heathtrestle::daemon
--- a/src/daemon/event_loop.hpp
+++ b/src/daemon/event_loop.hpp
@@ -1,8 +1,8 @@
-// Runs the reducer: a pool of workers takes events, reduces them over the
-// shared tables, and hands the effects on.
+// Runs the reducer on a pool of workers. Each worker takes events from its own
+// queue, reduces them over the shared tables and runs the resulting effects.
 //
-// Events about the same partition, back end or connection go to the same
-// worker, so they are reduced in the order in which they came.
+// Events with the same ordering key (a partition, back end or client request)
+// go to the same worker and are reduced in the order of their arrival.
 #pragma once
 
 #include "core/node.hpp"
@@ -19,7 +19,8 @@
 namespace heathtrestle::daemon {
 
 using effect_runner = std::function<void(wire::Effect)>;
-/// Sees every event with its effects, in order, when there is one worker.
+/// Called with every event and its effects after the event was reduced. The
+/// calls are in a total order only with a single worker.
 using trace_writer =
     std::function<void(const wire::Event &, const effects::effect_list &)>;
 
@@ -28,9 +29,10 @@
   event_loop(core::node &node, runtime::fiber_pool &fibers,
              effect_runner run_effect, trace_writer trace);
 
-  /// Adds an event; its time and random number are set when it is reduced.
+  /// Queues an event. Its time and random number are set just before it is
+  /// reduced.
   void post(wire::Event event);
-  /// Lets the workers end once their queues are empty.
+  /// Closes the queues. The workers end once their queues are empty.
   void stop();
 
 private:
@@ -42,7 +44,8 @@
   std::vector<std::unique_ptr<runtime::mailbox<wire::Event>>> queues_;
 };
 
-/// The number that decides which worker reduces an event.
+/// Returns the number that selects the worker of an event. Events without a
+/// key return 0.
 std::uint64_t ordering_key(const wire::Event &event);
 
 } // namespace heathtrestle::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// heathtrestled: the daemon.
+// Entry point of heathtrestled, the scheduler daemon.
 #include "daemon/daemon_settings.hpp"
 #include "daemon/runtime.hpp"
 #include "logging/log.hpp"
@@ -38,7 +38,7 @@
   runtime.begin_drain();
   runtime.wait_until_drained();
   logging::write(logging::event::daemon_stopped, settings.name);
-  // Everything is handed over. What is still open, such as a long poll at the
-  // platform, need not be waited for.
+  // The drain is complete. Exit without waiting for operations that are still
+  // open, such as a long poll to the platform.
   std::_Exit(EXIT_SUCCESS);
 }
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -24,10 +24,10 @@
 using rows_of_json = std::vector<json::object>;
 
 constexpr std::uint32_t call_limit_per_node = 100000;
-constexpr std::chrono::milliseconds status_patience{1500};
-/// How long a change waits to be in force everywhere before it is reported.
-constexpr std::chrono::milliseconds spread_patience{2000};
-constexpr std::chrono::milliseconds spread_check{100};
+constexpr std::chrono::milliseconds status_timeout{1500};
+/// How long a configuration change waits until all daemons have applied it.
+constexpr std::chrono::milliseconds propagation_timeout{2000};
+constexpr std::chrono::milliseconds propagation_poll_interval{100};
 
 const std::vector<std::string> call_fields{
     "program", "tenant", "class",  "name",  "agent",  "key",  "target",
@@ -58,25 +58,25 @@
           {"connections", row.connections()}};
 }
 
-/// What a question over all daemons brought in time.
-struct gathered {
+/// The status rows that daemons returned before the timeout.
+struct cluster_status {
   rows_of_json calls;
   std::vector<wire::NodeRow> nodes;
   std::size_t expected = 0; // daemons believed to run
 };
 
-gathered ask_all(daemon_runtime &runtime, bool calls) {
-  // The query's number doubles as its name in the registry.
+cluster_status query_all_nodes(daemon_runtime &runtime, bool calls) {
+  // The query number is also its id in the client registry.
   const std::uint64_t number = stable_hash(runtime.new_request_id());
   client_registry::handle handle(runtime.clients(), std::to_string(number));
-  gathered answer;
+  cluster_status answer;
   answer.expected = runtime.node().counts().members_running;
   wire::Event event;
   event.mutable_status_asked()->set_query(number);
   event.mutable_status_asked()->set_calls(calls);
   event.mutable_status_asked()->set_limit(call_limit_per_node);
   runtime.post(std::move(event));
-  const auto deadline = std::chrono::steady_clock::now() + status_patience;
+  const auto deadline = std::chrono::steady_clock::now() + status_timeout;
   while (answer.nodes.size() < answer.expected) {
     auto message = handle.mailbox().pop_until(deadline);
     if (!message.has_value()) {
@@ -159,7 +159,7 @@
                             statement.table),
                 "run statement");
   }
-  gathered answer = ask_all(runtime, calls);
+  cluster_status answer = query_all_nodes(runtime, calls);
   rows_of_json rows;
   if (calls) {
     rows = std::move(answer.calls);
@@ -174,13 +174,15 @@
   return table_response(fields, selected, answer.expected, answer.nodes.size());
 }
 
-/// Waits for a revision to be in force everywhere, and says where it is.
-json::object spread_of(daemon_runtime &runtime, std::uint64_t revision) {
-  const auto deadline = std::chrono::steady_clock::now() + spread_patience;
+/// Waits until all daemons have applied a revision or the timeout expires, and
+/// returns how many have applied it.
+json::object wait_for_propagation(daemon_runtime &runtime,
+                                  std::uint64_t revision) {
+  const auto deadline = std::chrono::steady_clock::now() + propagation_timeout;
   std::size_t in_force = 0;
   std::size_t expected = 0;
   while (true) {
-    const gathered answer = ask_all(runtime, false);
+    const cluster_status answer = query_all_nodes(runtime, false);
     expected = std::max(answer.expected, answer.nodes.size());
     in_force = static_cast<std::size_t>(
         std::count_if(answer.nodes.begin(), answer.nodes.end(),
@@ -191,13 +193,15 @@
     if (done || std::chrono::steady_clock::now() >= deadline) {
       break;
     }
-    boost::this_fiber::sleep_for(spread_check);
+    boost::this_fiber::sleep_for(propagation_poll_interval);
   }
   return {
       {"version", revision}, {"in_force_on", in_force}, {"nodes", expected}};
 }
 
-/// Reads an object, lets `change` edit its document, and writes it back.
+/// Reads an object, applies `change` to its document, and writes the result by
+/// compare-and-set.
+/// @param creates the object must not exist yet; otherwise it must exist.
 /// @param change returns the new document; an empty one removes the object.
 result<http::response>
 change_object(daemon_runtime &runtime, const std::string &kind,
@@ -246,7 +250,7 @@
   logging::write(logging::event::configuration_change_settled,
                  fmt::format("{} {} version {}", kind, name, revision));
   json::object body{{"accepted", true}, {"kind", kind}, {"name", name}};
-  for (const auto &field : spread_of(runtime, revision)) {
+  for (const auto &field : wait_for_propagation(runtime, revision)) {
     body[field.key()] = field.value();
   }
   return http::json_response(200, json::serialize(body) + "\n");
--- a/src/daemon/operator_api.hpp
+++ b/src/daemon/operator_api.hpp
@@ -1,5 +1,5 @@
-// Runs operators' statements: questions over all daemons, and changes of the
-// configuration by compare-and-set on the platform.
+// Runs operators' statements: queries over all daemons, and configuration
+// changes by compare-and-set on the platform.
 #pragma once
 
 #include "http/server.hpp"
--- a/src/daemon/runtime.cpp
+++ b/src/daemon/runtime.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds watch_wait{10000};
-constexpr std::chrono::milliseconds watch_retry{500};
+constexpr std::chrono::milliseconds watch_timeout{10000};
+constexpr std::chrono::milliseconds watch_retry_delay{500};
 
 std::uint64_t wall_clock_milliseconds() {
   return static_cast<std::uint64_t>(
@@ -42,8 +42,9 @@
   member.set_zone(settings.zone);
   member.set_region(settings.region);
   member.set_holds_partitions(has_role(settings, partitions_role));
-  // Grows with every start, so that news of a new process beats news of the
-  // one before. A clock set back delays that news and endangers nothing.
+  // Increases with every start, so that membership updates about a new process
+  // supersede those about the previous one. If the wall clock moves backwards,
+  // the updates are delayed, but safety is not affected.
   member.set_incarnation(wall_clock_milliseconds());
   return member;
 }
@@ -215,8 +216,8 @@
 }
 
 void daemon_runtime::propose_founding(const wire::Founding &founding) {
-  if (founding_proposed_.exchange(true)) {
-    return; // an earlier proposal is still under way
+  if (founding_proposal_pending_.exchange(true)) {
+    return; // an earlier proposal is still in progress
   }
   std::string document;
   [[maybe_unused]] const auto converted =
@@ -224,7 +225,8 @@
   const std::string kind(platform_client::founding_kind);
   const std::string name =
       fmt::format("{}.{}", settings_.cluster, settings_.region);
-  // Whether this proposal or another was taken is told by what is there now.
+  // The result of the write is ignored: the record that is read back is the
+  // founding that won, whether it was proposed here or by another daemon.
   [[maybe_unused]] const auto written =
       platform_.write({.kind = kind,
                        .name = name,
@@ -241,36 +243,38 @@
   if (found) {
     post(std::move(event));
   }
-  founding_proposed_ = false;
+  founding_proposal_pending_ = false;
 }
 
 void daemon_runtime::watch_platform() {
   bool available = true;
   while (!stopping_) {
     if (!watching_) {
-      boost::this_fiber::sleep_for(watch_retry);
+      boost::this_fiber::sleep_for(watch_retry_delay);
       continue;
     }
     const std::uint64_t revision = node_->counts().configuration_revision;
-    const auto delta = platform_.watch(revision, watch_wait);
+    const auto delta = platform_.watch(revision, watch_timeout);
     if (!delta) {
       if (available) {
         logging::write(logging::event::platform_unavailable,
                        describe(delta.error()));
       }
       available = false;
-      boost::this_fiber::sleep_for(watch_retry);
+      boost::this_fiber::sleep_for(watch_retry_delay);
       continue;
     }
     if (!available) {
-      logging::write(logging::event::platform_recovered, "watching again");
+      logging::write(logging::event::platform_recovered,
+                     "watching the platform's configuration again");
       available = true;
     }
     if (delta.value().to_revision() > revision) {
       wire::Event event;
       *event.mutable_configuration_read() = delta.value();
       post(std::move(event));
-      // The next watch asks after the revision that this event brings.
+      // Wait until the event is applied: the next watch starts from its
+      // revision.
       while (!stopping_ && node_->counts().configuration_revision <
                                delta.value().to_revision()) {
         boost::this_fiber::sleep_for(std::chrono::milliseconds(1));
--- a/src/daemon/runtime.hpp
+++ b/src/daemon/runtime.hpp
@@ -1,4 +1,4 @@
-// One running daemon: the reducer with its sockets, fibers and timers.
+// A running daemon: owns the reducer and its sockets, fibers and timers.
 #pragma once
 
 #include "core/node.hpp"
@@ -28,15 +28,16 @@
   daemon_runtime(const daemon_runtime &) = delete;
   daemon_runtime &operator=(const daemon_runtime &) = delete;
 
-  /// Opens the sockets and starts all parts.
+  /// Opens the sockets and starts all components.
   result<void> start();
-  /// Begins a planned stop: hands over, lets requests finish.
+  /// Starts a graceful shutdown: hands over leadership and lets open requests
+  /// finish.
   void begin_drain();
-  /// Waits until the planned stop is done.
+  /// Blocks until the graceful shutdown is complete.
   void wait_until_drained();
 
   void post(wire::Event event) { loop_->post(std::move(event)); }
-  /// A request id that no other request of the cluster has.
+  /// Returns a request id that is unique in the cluster.
   std::string new_request_id();
 
   core::node &node() { return *node_; }
@@ -69,7 +70,7 @@
   std::unique_ptr<http::server> server_;
   std::atomic<bool> stopping_{false};
   std::atomic<bool> watching_{false};
-  std::atomic<bool> founding_proposed_{false};
+  std::atomic<bool> founding_proposal_pending_{false};
   std::atomic<std::uint64_t> next_request_{0};
   std::mutex drain_mutex_;
   std::condition_variable drained_changed_;
