--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,5 +1,5 @@
-// heathtrestlectl: runs operators' statements from its arguments, from a file
-// or at a prompt.
+// heathtrestlectl, the operators' command line tool. It runs statements from
+// its arguments, from a file or from an interactive prompt.
 #include "ctl/table.hpp"
 #include "http/client.hpp"
 #include "http/io_thread.hpp"
@@ -35,12 +35,12 @@
   std::vector<std::string> words;
 };
 
-/// Sends statements and prints the answers.
+/// Sends statements to a daemon and prints the responses.
 class session {
 public:
   explicit session(invocation given) : given_(std::move(given)), client_(io_) {}
 
-  /// @return true when the statement was carried out.
+  /// @return true if the statement succeeded.
   bool run(const std::string &statement) {
     std::promise<result<http::response>> promise;
     auto answered = promise.get_future();
@@ -64,8 +64,8 @@
     return accepted;
   }
 
-  /// Runs each line of a file; empty lines and lines that begin with `#` are
-  /// passed over.
+  /// Runs each line of a file as a statement. Empty lines and lines that begin
+  /// with `#` are skipped.
   bool run_file(std::istream &lines) {
     std::string line;
     bool all = true;
