--- a/src/engine_client/engine_client.cpp
+++ b/src/engine_client/engine_client.cpp
@@ -20,11 +20,12 @@
 constexpr http::client_timeouts generation_timeouts{
     .connect = std::chrono::milliseconds(2000),
     .silence = std::chrono::milliseconds(20000)};
-constexpr http::client_timeouts order_timeouts{
+constexpr http::client_timeouts control_timeouts{
     .connect = std::chrono::milliseconds(1000),
     .silence = std::chrono::milliseconds(5000)};
 
-/// Splits a body into lines and parses the data of server-sent events.
+/// Incremental parser of server-sent events whose data are JSON objects. Other
+/// lines are ignored.
 class event_parser {
 public:
   template <typename OnData> void feed(std::string_view part, OnData on_data) {
@@ -51,7 +52,7 @@
   std::string pending_;
 };
 
-/// What is known of a generation so far.
+/// The state of a generation, accumulated over all its streams.
 struct generation {
   std::string text;
   std::optional<wire::Usage> usage; // set once the stream has ended
@@ -65,8 +66,9 @@
              : 0;
 }
 
-void take_data(const json::object &data, const wire::StartEngineRequest &order,
-               generation &state, const event_sink &post) {
+void apply_stream_data(const json::object &data,
+                       const wire::StartEngineRequest &command,
+                       generation &state, const event_sink &post) {
   if (const json::value *text = data.if_contains("text")) {
     const std::uint64_t offset = number_in(data, "offset");
     if (text->is_string() && offset == state.text.size()) {
@@ -74,8 +76,8 @@
       state.text += piece;
       wire::Event event;
       wire::EngineProgress &progress = *event.mutable_engine_progress();
-      progress.set_backend(order.backend());
-      progress.set_engine_request(order.engine_request());
+      progress.set_backend(command.backend());
+      progress.set_engine_request(command.engine_request());
       progress.set_offset(offset);
       progress.set_text(piece);
       post(std::move(event));
@@ -93,26 +95,26 @@
   }
 }
 
-http::request generation_request(const wire::StartEngineRequest &order,
+http::request generation_request(const wire::StartEngineRequest &command,
                                  bool start_allowed, std::size_t offset) {
   json::object body;
-  body["model"] = order.model();
+  body["model"] = command.model();
   json::array messages;
-  for (const std::string &message : order.messages()) {
+  for (const std::string &message : command.messages()) {
     boost::system::error_code failure;
     messages.push_back(json::parse(message, failure));
   }
   body["messages"] = std::move(messages);
-  body["max_tokens"] = order.max_output_tokens();
+  body["max_tokens"] = command.max_output_tokens();
   body["stream"] = true;
   http::request request;
   request.method = "POST";
   request.path = "/v1/chat/completions";
   request.headers["Content-Type"] = "application/json";
-  request.headers["X-Request-Id"] = order.engine_request();
-  request.headers["X-Epoch"] = std::to_string(order.epoch());
-  request.headers["X-Program"] = order.program();
-  request.headers["X-Priority"] = std::to_string(order.priority());
+  request.headers["X-Request-Id"] = command.engine_request();
+  request.headers["X-Epoch"] = std::to_string(command.epoch());
+  request.headers["X-Program"] = command.program();
+  request.headers["X-Priority"] = std::to_string(command.priority());
   request.headers["X-Resume-Offset"] = std::to_string(offset);
   request.headers["X-Start-Allowed"] = start_allowed ? "true" : "false";
   request.body = json::serialize(body);
@@ -126,7 +128,7 @@
   return finished;
 }
 
-/// The final outcome behind a response that is not a stream.
+/// Maps a response with an error status to the outcome of the generation.
 wire::EngineFinished classify(const http::response &answer, bool may_have_run) {
   const bool rejected = answer.status == status_bad_request ||
                         answer.status == status_unprocessable;
@@ -139,16 +141,16 @@
                       ? "the engine does not know the request"
                       : fmt::format("engine status {}", answer.status));
   }
-  // Anything else is said before the engine takes the request in.
+  // An engine returns any other status only before it accepts the request.
   return failed(
       wire::DISPATCH_NOT_STARTED,
       fmt::format("engine status {}: {}", answer.status, answer.body));
 }
 
-void post_finished(const wire::StartEngineRequest &order,
+void post_finished(const wire::StartEngineRequest &command,
                    wire::EngineFinished finished, const event_sink &post) {
-  finished.set_backend(order.backend());
-  finished.set_engine_request(order.engine_request());
+  finished.set_backend(command.backend());
+  finished.set_engine_request(command.engine_request());
   wire::Event event;
   *event.mutable_engine_finished() = std::move(finished);
   post(std::move(event));
@@ -156,31 +158,31 @@
 
 } // namespace
 
-void run_generation(http::client &client, const wire::StartEngineRequest &order,
+void run_generation(http::client &client,
+                    const wire::StartEngineRequest &command,
                     const event_sink &post) {
   generation state;
-  bool may_have_run = !order.start_allowed();
+  bool may_have_run = !command.start_allowed();
   std::string last_failure = "no connection";
   for (int tries = 0; tries <= resume_limit; ++tries) {
-    // Only the first request may start the generation; later ones take up
-    // what that one started.
-    const bool start_allowed = order.start_allowed() && !may_have_run;
+    // Once the generation may have started, later requests only resume it.
+    const bool start_allowed = command.start_allowed() && !may_have_run;
     event_parser parser;
-    const auto answer =
-        client.send(order.address(),
-                    generation_request(order, start_allowed, state.text.size()),
-                    generation_timeouts, [&](std::string_view part) {
-                      parser.feed(part, [&](const json::object &data) {
-                        take_data(data, order, state, post);
-                      });
-                      return !state.usage.has_value();
-                    });
+    const auto answer = client.send(
+        command.address(),
+        generation_request(command, start_allowed, state.text.size()),
+        generation_timeouts, [&](std::string_view part) {
+          parser.feed(part, [&](const json::object &data) {
+            apply_stream_data(data, command, state, post);
+          });
+          return !state.usage.has_value();
+        });
     if (state.usage.has_value()) {
       wire::EngineFinished finished;
       finished.set_status(wire::DISPATCH_COMPLETED);
       finished.set_text(state.text);
       *finished.mutable_usage() = *state.usage;
-      post_finished(order, std::move(finished), post);
+      post_finished(command, std::move(finished), post);
       return;
     }
     if (!answer) {
@@ -189,94 +191,94 @@
       continue;
     }
     if (answer.value().status != status_ok) {
-      post_finished(order, classify(answer.value(), may_have_run), post);
+      post_finished(command, classify(answer.value(), may_have_run), post);
       return;
     }
     may_have_run = true;
     last_failure = "the stream ended early";
   }
   post_finished(
-      order,
+      command,
       failed(may_have_run ? wire::DISPATCH_LOST : wire::DISPATCH_NOT_STARTED,
              last_failure),
       post);
 }
 
 void cancel_generation(http::client &client,
-                       const wire::CancelEngineRequest &order) {
+                       const wire::CancelEngineRequest &command) {
   http::request request;
   request.method = "POST";
   request.path = "/v1/cancel";
-  request.headers["X-Request-Id"] = order.engine_request();
-  request.headers["X-Epoch"] = std::to_string(order.epoch());
-  // A cancel that is lost only costs the engine work.
+  request.headers["X-Request-Id"] = command.engine_request();
+  request.headers["X-Epoch"] = std::to_string(command.epoch());
+  // A lost cancellation only wastes work on the engine, so it is not retried.
   [[maybe_unused]] const auto answer =
-      client.send(order.address(), request, order_timeouts);
+      client.send(command.address(), request, control_timeouts);
 }
 
 void release_memory(http::client &client,
-                    const wire::ReleaseEngineMemory &order,
+                    const wire::ReleaseEngineMemory &command,
                     const event_sink &post) {
   http::request request;
   request.method = "POST";
   request.path = "/v1/cache/release";
-  request.headers["X-Program"] = order.program();
-  request.headers["X-Epoch"] = std::to_string(order.epoch());
-  const auto answer = client.send(order.address(), request, order_timeouts);
+  request.headers["X-Program"] = command.program();
+  request.headers["X-Epoch"] = std::to_string(command.epoch());
+  const auto answer = client.send(command.address(), request, control_timeouts);
   wire::Event event;
   wire::EngineMemoryReleased &released =
       *event.mutable_engine_memory_released();
-  released.set_backend(order.backend());
-  released.set_program(order.program());
+  released.set_backend(command.backend());
+  released.set_program(command.program());
   released.set_released(answer && answer.value().status == status_ok);
   post(std::move(event));
 }
 
-void fence_engine(http::client &client, const wire::FenceEngine &order,
+void fence_engine(http::client &client, const wire::FenceEngine &command,
                   const event_sink &post) {
   http::request request;
   request.method = "POST";
   request.path = "/v1/fence";
-  request.headers["X-Epoch"] = std::to_string(order.epoch());
-  const auto answer = client.send(order.address(), request, order_timeouts);
+  request.headers["X-Epoch"] = std::to_string(command.epoch());
+  const auto answer = client.send(command.address(), request, control_timeouts);
   wire::Event event;
   wire::EngineFenced &fenced = *event.mutable_engine_fenced();
-  fenced.set_backend(order.backend());
-  fenced.set_epoch(order.epoch());
+  fenced.set_backend(command.backend());
+  fenced.set_epoch(command.epoch());
   fenced.set_fenced(answer && answer.value().status == status_ok);
   post(std::move(event));
 }
 
-void invoke_tool(http::client &client, const wire::InvokeTool &order,
+void invoke_tool(http::client &client, const wire::InvokeTool &command,
                  const event_sink &post) {
   http::request request;
-  request.method = order.start_allowed() ? "POST" : "GET";
-  request.path = fmt::format("/v1/tools/{}/invocations", order.tool());
+  request.method = command.start_allowed() ? "POST" : "GET";
+  request.path = fmt::format("/v1/tools/{}/invocations", command.tool());
   request.headers["Content-Type"] = "application/json";
-  request.headers["Idempotency-Key"] = order.invocation();
-  request.body = order.start_allowed() ? order.arguments() : "";
+  request.headers["Idempotency-Key"] = command.invocation();
+  request.body = command.start_allowed() ? command.arguments() : "";
   const http::client_timeouts timeouts{
       .connect = std::chrono::milliseconds(2000),
       .silence = std::chrono::milliseconds(
-          static_cast<std::int64_t>(order.time_limit_ms()))};
-  const auto answer = client.send(order.address(), request, timeouts);
+          static_cast<std::int64_t>(command.time_limit_ms()))};
+  const auto answer = client.send(command.address(), request, timeouts);
 
   wire::Event event;
   wire::ToolFinished &finished = *event.mutable_tool_finished();
-  finished.set_partition(order.partition());
-  finished.set_program(order.program());
-  finished.set_key(order.key());
-  finished.set_attempt(order.attempt());
+  finished.set_partition(command.partition());
+  finished.set_program(command.program());
+  finished.set_key(command.key());
+  finished.set_attempt(command.attempt());
   if (!answer) {
     const bool not_sent = answer.error().ran == ran_status::not_run;
-    finished.set_status(not_sent && order.start_allowed()
+    finished.set_status(not_sent && command.start_allowed()
                             ? wire::DISPATCH_NOT_STARTED
                             : wire::DISPATCH_LOST);
     finished.set_detail(describe(answer.error()));
   } else if (answer.value().status == status_ok) {
     finished.set_status(wire::DISPATCH_COMPLETED);
     finished.set_result(answer.value().body);
-  } else if (!order.start_allowed()) {
+  } else if (!command.start_allowed()) {
     finished.set_status(wire::DISPATCH_LOST);
     finished.set_detail("the tool does not know the invocation");
   } else {
--- a/src/engine_client/engine_client.hpp
+++ b/src/engine_client/engine_client.hpp
@@ -1,5 +1,5 @@
-// Talks to model engines and tool services over HTTP and reports what came of
-// a request as events for the reducer.
+// HTTP client for model engines and tool services. It reports progress and
+// outcomes of requests as events to the reducer.
 #pragma once
 
 #include "http/client.hpp"
@@ -10,28 +10,31 @@
 
 namespace heathtrestle::engine_client {
 
-/// Gets events as they arise; called on the fiber that runs the request.
+/// Receives events as they occur. Called on the fiber that runs the request.
 using event_sink = std::function<void(wire::Event)>;
 
-/// Runs one generation to its end. Interrupted streams are taken up again by
-/// request id, as long as the engine knows it.
-void run_generation(http::client &client, const wire::StartEngineRequest &order,
+/// Runs one generation until it finishes or fails. An interrupted stream is
+/// resumed by request id and offset a limited number of times, as long as the
+/// engine still knows the request.
+void run_generation(http::client &client,
+                    const wire::StartEngineRequest &command,
                     const event_sink &post);
 
 void cancel_generation(http::client &client,
-                       const wire::CancelEngineRequest &order);
+                       const wire::CancelEngineRequest &command);
 
-/// Frees the memory that an engine holds for a program.
+/// Asks an engine to release the memory that it holds for a program.
 void release_memory(http::client &client,
-                    const wire::ReleaseEngineMemory &order,
+                    const wire::ReleaseEngineMemory &command,
                     const event_sink &post);
 
-/// Tells an engine of a new epoch.
-void fence_engine(http::client &client, const wire::FenceEngine &order,
+/// Sends a new epoch to an engine to fence it.
+void fence_engine(http::client &client, const wire::FenceEngine &command,
                   const event_sink &post);
 
-/// Invokes a tool, or asks for the outcome of an earlier invocation.
-void invoke_tool(http::client &client, const wire::InvokeTool &order,
+/// Invokes a tool. If a start is not allowed, only requests the outcome of an
+/// earlier invocation.
+void invoke_tool(http::client &client, const wire::InvokeTool &command,
                  const event_sink &post);
 
 } // namespace heathtrestle::engine_client
