--- a/src/platform_client/platform_client.cpp
+++ b/src/platform_client/platform_client.cpp
@@ -14,14 +14,14 @@
 constexpr std::uint32_t status_not_found = 404;
 constexpr std::uint32_t status_conflict = 409;
 constexpr std::uint32_t status_server_error = 500;
-constexpr int read_back_tries = 3;
+constexpr int max_read_back_attempts = 3;
 constexpr http::client_timeouts call_timeouts{
     .connect = std::chrono::milliseconds(1000),
     .silence = std::chrono::milliseconds(3000)};
 constexpr std::chrono::milliseconds watch_margin{3000};
 
-error bad_answer(const std::string &step, const std::string &peer,
-                 const http::response &answer) {
+error unexpected_response(const std::string &step, const std::string &peer,
+                          const http::response &answer) {
   const bool unavailable = answer.status >= status_server_error;
   return {.code = unavailable ? error_code::platform_unavailable
                               : error_code::protocol_error,
@@ -81,7 +81,7 @@
   }
   const auto fields = object_of(answer.value().body);
   if (answer.value().status != status_ok || !fields.has_value()) {
-    return bad_answer("read object", address_, answer.value());
+    return unexpected_response("read object", address_, answer.value());
   }
   stored_object found;
   found.version = number_in(*fields, "version");
@@ -93,12 +93,13 @@
 
 result<std::uint64_t> platform_client::write(const write_request &request) {
   auto first = write_once(request);
-  const bool certain = first || first.error().ran == ran_status::not_run;
-  if (certain) {
+  const bool outcome_known = first || first.error().ran == ran_status::not_run;
+  if (outcome_known) {
     return first;
   }
-  // The answer was lost. What is there now tells whether the change was made.
-  for (int attempt = 0; attempt < read_back_tries; ++attempt) {
+  // The response was lost. Read the object back to find out whether the write
+  // took effect.
+  for (int attempt = 0; attempt < max_read_back_attempts; ++attempt) {
     const auto found = read(request.kind, request.name);
     if (!found) {
       continue;
@@ -110,17 +111,18 @@
     const std::uint64_t version =
         exists && !found.value()->removed ? found.value()->version : 0;
     if (version != request.expected_version) {
-      // Another change lies on top; this one may or may not lie under it.
-      error overtaken = first.error();
-      overtaken.code = error_code::conflict;
-      overtaken.message = fmt::format(
+      // Another write created the current version. This one may or may not have
+      // taken effect before it.
+      error superseded = first.error();
+      superseded.code = error_code::conflict;
+      superseded.message = fmt::format(
           "the answer was lost and {} {} has version {} by another change; "
           "whether this change was made before it is not known",
           request.kind, request.name, version);
-      return overtaken;
+      return superseded;
     }
-    // Not there: the write was lost on its way. Written again it takes effect
-    // at most once, since both copies expect the same version.
+    // The write has not taken effect so far. A retry is safe: both copies
+    // expect the same version, so at most one of them takes effect.
     auto again = write_once(request);
     if (again) {
       return again;
@@ -155,7 +157,7 @@
         "compare and set", address_);
   }
   if (answer.value().status != status_ok || !fields.has_value()) {
-    return bad_answer("compare and set", address_, answer.value());
+    return unexpected_response("compare and set", address_, answer.value());
   }
   return number_in(*fields, "version");
 }
@@ -174,14 +176,14 @@
   }
   const auto fields = object_of(answer.value().body);
   if (answer.value().status != status_ok || !fields.has_value()) {
-    return bad_answer("watch", address_, answer.value());
+    return unexpected_response("watch", address_, answer.value());
   }
   wire::ConfigurationDelta delta;
   delta.set_from_revision(revision);
   delta.set_to_revision(number_in(*fields, "revision"));
   const json::value *objects = fields->if_contains("objects");
   if (objects == nullptr || !objects->is_array()) {
-    return bad_answer("watch", address_, answer.value());
+    return unexpected_response("watch", address_, answer.value());
   }
   for (const json::value &item : objects->as_array()) {
     if (!item.is_object()) {
--- a/src/platform_client/platform_client.hpp
+++ b/src/platform_client/platform_client.hpp
@@ -1,7 +1,7 @@
-// Talks to the platform's object API over HTTP.
+// HTTP client for the platform's object API.
 //
-// Every write is a compare-and-set that carries a change id. When its answer
-// is lost the object is read back: the change id tells whether the write took
+// Every write is a compare-and-set that carries a change id. If its response is
+// lost, the object is read back, and its change id shows whether the write took
 // effect.
 #pragma once
 
@@ -16,10 +16,10 @@
 
 namespace heathtrestle::platform_client {
 
-/// An object as the platform holds it.
+/// An object as stored by the platform.
 struct stored_object {
   std::uint64_t version = 0;
-  std::string change_id; // of the write that made this version
+  std::string change_id; // of the write that created this version
   std::string document;
   bool removed = false;
 };
@@ -37,17 +37,18 @@
   platform_client(http::client &client, std::string address)
       : client_(client), address_(std::move(address)) {}
 
-  /// @return nothing in the optional when the object does not exist.
+  /// @return an empty optional if the object does not exist.
   result<std::optional<stored_object>> read(const std::string &kind,
                                             const std::string &name);
 
-  /// Writes an object and settles a lost answer by reading back.
-  /// @return the new version; `conflict` when another version was found;
-  /// an error with `ran` unknown when not even reading back worked.
+  /// Writes an object. If the response is lost, reads the object back to find
+  /// out whether the write took effect, and retries it if not.
+  /// @return the new version; `conflict` if the object has another version than
+  /// expected; an error with `ran` unknown if the outcome stays unknown.
   result<std::uint64_t> write(const write_request &request);
 
-  /// Waits for changes of the configuration after `revision`.
-  /// @return a delta, empty when `wait` passed without a change.
+  /// Waits up to `wait` for configuration changes after `revision` (long poll).
+  /// @return the changes; empty if there were none in that time.
   result<wire::ConfigurationDelta> watch(std::uint64_t revision,
                                          std::chrono::milliseconds wait);
 
@@ -60,7 +61,7 @@
   std::string address_;
 };
 
-/// The kind under which the platform keeps the clusters' founding records.
+/// The object kind of the clusters' founding records.
 inline constexpr std::string_view founding_kind = "cluster";
 
 } // namespace heathtrestle::platform_client
