--- a/src/daemon/api_replies.cpp
+++ b/src/daemon/api_replies.cpp
@@ -61,7 +61,7 @@
   return fields;
 }
 
-json::value parsed(const std::string &text) {
+json::value parse_or_string(const std::string &text) {
   boost::system::error_code failure;
   json::value value = json::parse(text, failure);
   return failure ? json::value(text) : value;
@@ -130,7 +130,7 @@
   for (const wire::AgentRecord &agent : program.agents()) {
     json::array history;
     for (const std::string &message : agent.history()) {
-      history.push_back(parsed(message));
+      history.push_back(parse_or_string(message));
     }
     agents.push_back(
         json::object{{"name", agent.name()}, {"history", std::move(history)}});
@@ -149,7 +149,7 @@
     row["backend"] = call.backend();
     row["cost"] = call.cost();
     if (call.state() == wire::CALL_COMPLETED) {
-      row["answer"] = parsed(call.answer());
+      row["answer"] = parse_or_string(call.answer());
     }
     calls.push_back(std::move(row));
   }
@@ -161,7 +161,7 @@
   const wire::CallRecord &call = outcome.call();
   json::object choice;
   choice["index"] = 0;
-  choice["message"] = parsed(call.answer());
+  choice["message"] = parse_or_string(call.answer());
   choice["finish_reason"] = "stop";
   json::object body;
   body["id"] = call.request().key();
@@ -175,7 +175,7 @@
 
 std::string tool_result_json(const wire::CallOutcome &outcome) {
   json::object body;
-  body["result"] = parsed(outcome.call().answer());
+  body["result"] = parse_or_string(outcome.call().answer());
   body["heathtrestle"] = scheduling_object(outcome);
   return json::serialize(body) + "\n";
 }
@@ -206,7 +206,7 @@
 }
 
 std::string answer_text(const std::string &assistant_message) {
-  const json::value value = parsed(assistant_message);
+  const json::value value = parse_or_string(assistant_message);
   const json::value *content =
       value.is_object() ? value.as_object().if_contains("content") : nullptr;
   const bool is_text = content != nullptr && content->is_string();
--- a/src/daemon/runtime.cpp
+++ b/src/daemon/runtime.cpp
@@ -155,28 +155,28 @@
                      effect.status_ready().reply());
     return;
   case wire::Effect::kStartEngineRequest:
-    fibers_->spawn([this, sink, order = effect.start_engine_request()] {
-      engine_client::run_generation(client_, order, sink);
+    fibers_->spawn([this, sink, command = effect.start_engine_request()] {
+      engine_client::run_generation(client_, command, sink);
     });
     return;
   case wire::Effect::kCancelEngineRequest:
-    fibers_->spawn([this, order = effect.cancel_engine_request()] {
-      engine_client::cancel_generation(client_, order);
+    fibers_->spawn([this, command = effect.cancel_engine_request()] {
+      engine_client::cancel_generation(client_, command);
     });
     return;
   case wire::Effect::kReleaseEngineMemory:
-    fibers_->spawn([this, sink, order = effect.release_engine_memory()] {
-      engine_client::release_memory(client_, order, sink);
+    fibers_->spawn([this, sink, command = effect.release_engine_memory()] {
+      engine_client::release_memory(client_, command, sink);
     });
     return;
   case wire::Effect::kFenceEngine:
-    fibers_->spawn([this, sink, order = effect.fence_engine()] {
-      engine_client::fence_engine(client_, order, sink);
+    fibers_->spawn([this, sink, command = effect.fence_engine()] {
+      engine_client::fence_engine(client_, command, sink);
     });
     return;
   case wire::Effect::kInvokeTool:
-    fibers_->spawn([this, sink, order = effect.invoke_tool()] {
-      engine_client::invoke_tool(client_, order, sink);
+    fibers_->spawn([this, sink, command = effect.invoke_tool()] {
+      engine_client::invoke_tool(client_, command, sink);
     });
     return;
   case wire::Effect::kProposeFounding:
--- a/src/daemon/runtime.hpp
+++ b/src/daemon/runtime.hpp
@@ -30,8 +30,8 @@
 
   /// Opens the sockets and starts all components.
   result<void> start();
-  /// Starts a graceful shutdown: hands over leadership and lets open requests
-  /// finish.
+  /// Starts a graceful shutdown: stops accepting connections and requests a
+  /// drain from the reducer.
   void begin_drain();
   /// Blocks until the graceful shutdown is complete.
   void wait_until_drained();
