--- a/src/engine_client/engine_client.cpp
+++ b/src/engine_client/engine_client.cpp
@@ -26,7 +26,7 @@
 
 /// Incremental parser of server-sent events whose data are JSON objects. Other
 /// lines are ignored.
-class event_parser {
+class sse_parser {
 public:
   template <typename OnData> void feed(std::string_view part, OnData on_data) {
     pending_ += part;
@@ -167,7 +167,7 @@
   for (int tries = 0; tries <= resume_limit; ++tries) {
     // Once the generation may have started, later requests only resume it.
     const bool start_allowed = command.start_allowed() && !may_have_run;
-    event_parser parser;
+    sse_parser parser;
     const auto answer = client.send(
         command.address(),
         generation_request(command, start_allowed, state.text.size()),
