--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -24,11 +24,11 @@
 using namespace heathtrestle;
 namespace options = boost::program_options;
 
-constexpr int exit_code_refused = 1;
+constexpr int exit_code_failed = 1;
 constexpr int exit_code_usage = 2;
 constexpr std::uint32_t status_ok = 200;
 
-struct invocation {
+struct command_line {
   std::string address = "127.0.0.1:8080";
   std::string format = "table";
   std::string file;
@@ -38,26 +38,27 @@
 /// Sends statements to a daemon and prints the responses.
 class session {
 public:
-  explicit session(invocation given) : given_(std::move(given)), client_(io_) {}
+  explicit session(command_line given)
+      : arguments_(std::move(given)), client_(io_) {}
 
   /// @return true if the statement succeeded.
   bool run(const std::string &statement) {
     std::promise<result<http::response>> promise;
-    auto answered = promise.get_future();
+    auto response_future = promise.get_future();
     fibers_.spawn([&] {
       http::request request;
       request.method = "POST";
       request.path = "/v1/statements";
       request.body = statement;
-      promise.set_value(client_.send(given_.address, request));
+      promise.set_value(client_.send(arguments_.address, request));
     });
-    const auto answer = answered.get();
+    const auto answer = response_future.get();
     if (!answer) {
       fmt::print(stderr, "{}\n", describe(answer.error()));
       return false;
     }
     const bool accepted = answer.value().status == status_ok;
-    const std::string text = given_.format == "json"
+    const std::string text = arguments_.format == "json"
                                  ? answer.value().body
                                  : ctl::format_answer(answer.value().body);
     fmt::print(accepted ? stdout : stderr, "{}", text);
@@ -68,13 +69,13 @@
   /// with `#` are skipped.
   bool run_file(std::istream &lines) {
     std::string line;
-    bool all = true;
+    bool all_succeeded = true;
     while (std::getline(lines, line)) {
       if (!line.empty() && line.front() != '#') {
-        all = run(line) && all;
+        all_succeeded = run(line) && all_succeeded;
       }
     }
-    return all;
+    return all_succeeded;
   }
 
   void run_prompt() {
@@ -93,13 +94,13 @@
   }
 
 private:
-  invocation given_;
+  command_line arguments_;
   http::io_thread io_;
   http::client client_;
   runtime::fiber_pool fibers_{1};
 };
 
-std::string joined(const std::vector<std::string> &words) {
+std::string join_words(const std::vector<std::string> &words) {
   std::string text;
   for (const std::string &word : words) {
     text += (text.empty() ? "" : " ") + word;
@@ -110,7 +111,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  invocation given;
+  command_line given;
   options::options_description flags("Flags");
   flags.add_options()("help", "print this text")(
       "address", options::value(&given.address)->default_value(given.address),
@@ -152,13 +153,14 @@
       fmt::print(stderr, "{}: cannot be read\n", given.file);
       return exit_code_usage;
     }
-    return session.run_file(lines) ? EXIT_SUCCESS : exit_code_refused;
+    return session.run_file(lines) ? EXIT_SUCCESS : exit_code_failed;
   }
   if (!given.words.empty()) {
-    return session.run(joined(given.words)) ? EXIT_SUCCESS : exit_code_refused;
+    return session.run(join_words(given.words)) ? EXIT_SUCCESS
+                                                : exit_code_failed;
   }
   if (::isatty(STDIN_FILENO) == 0) {
-    return session.run_file(std::cin) ? EXIT_SUCCESS : exit_code_refused;
+    return session.run_file(std::cin) ? EXIT_SUCCESS : exit_code_failed;
   }
   session.run_prompt();
   return EXIT_SUCCESS;
