--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -38,8 +38,8 @@
 /// Sends statements to a daemon and prints the responses.
 class session {
 public:
-  explicit session(command_line given)
-      : arguments_(std::move(given)), client_(io_) {}
+  explicit session(command_line arguments)
+      : arguments_(std::move(arguments)), client_(io_) {}
 
   /// @return true if the statement succeeded.
   bool run(const std::string &statement) {
@@ -111,15 +111,17 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  command_line given;
+  command_line arguments;
   options::options_description flags("Flags");
   flags.add_options()("help", "print this text")(
-      "address", options::value(&given.address)->default_value(given.address),
+      "address",
+      options::value(&arguments.address)->default_value(arguments.address),
       "the HTTP address of any daemon, ip:port")(
-      "format", options::value(&given.format)->default_value(given.format),
-      "table or json")("file", options::value(&given.file),
+      "format",
+      options::value(&arguments.format)->default_value(arguments.format),
+      "table or json")("file", options::value(&arguments.file),
                        "runs the statements in this file, one a line")(
-      "statement", options::value(&given.words), "the statement");
+      "statement", options::value(&arguments.words), "the statement");
   options::positional_options_description positions;
   positions.add("statement", -1);
   options::variables_map values;
@@ -142,22 +144,22 @@
     fmt::print("{}", text.str());
     return EXIT_SUCCESS;
   }
-  if (given.format != "table" && given.format != "json") {
+  if (arguments.format != "table" && arguments.format != "json") {
     fmt::print(stderr, "--format: expected table or json\n");
     return exit_code_usage;
   }
-  session session(given);
-  if (!given.file.empty()) {
-    std::ifstream lines(given.file);
+  session session(arguments);
+  if (!arguments.file.empty()) {
+    std::ifstream lines(arguments.file);
     if (!lines) {
-      fmt::print(stderr, "{}: cannot be read\n", given.file);
+      fmt::print(stderr, "{}: cannot be read\n", arguments.file);
       return exit_code_usage;
     }
     return session.run_file(lines) ? EXIT_SUCCESS : exit_code_failed;
   }
-  if (!given.words.empty()) {
-    return session.run(join_words(given.words)) ? EXIT_SUCCESS
-                                                : exit_code_failed;
+  if (!arguments.words.empty()) {
+    return session.run(join_words(arguments.words)) ? EXIT_SUCCESS
+                                                    : exit_code_failed;
   }
   if (::isatty(STDIN_FILENO) == 0) {
     return session.run_file(std::cin) ? EXIT_SUCCESS : exit_code_failed;
