--- a/src/stand_ins/answer.hpp
+++ b/src/stand_ins/answer.hpp
@@ -1,5 +1,5 @@
-// The answer of the stand-in engine: a function of the whole prompt, so that
-// an answer that was crossed, cut or mixed with another can be told.
+// Deterministic answers of the stand-in engine. An answer depends on the whole
+// prompt, so that tests detect swapped, truncated or interleaved answers.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 inline constexpr std::uint32_t bytes_per_token = 4;
 
-/// Tokens of a prompt as the stand-in counts them.
+/// Estimates tokens from the length: `bytes_per_token` each, rounded up.
 std::uint64_t count_tokens(const std::string &text);
 
-/// The answer to a conversation.
-/// @param messages canonical JSON, one each.
-/// @param max_tokens upper limit on its length.
+/// Computes the answer to a conversation.
+/// @param messages the messages, each as canonical JSON.
+/// @param max_tokens upper limit on the length of the answer.
 std::string expected_answer(const std::vector<std::string> &messages,
                             std::uint32_t max_tokens);
 
-/// An assistant's message with that answer, as canonical JSON.
+/// Formats the answer as an assistant message in canonical JSON.
 std::string assistant_message(const std::string &answer);
 
 } // namespace heathtrestle::stand_ins
--- a/src/stand_ins/engine/engine.cpp
+++ b/src/stand_ins/engine/engine.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::seconds generation_retention{300};
 constexpr std::uint32_t default_max_tokens = 64;
 
-std::string event_of(const json::object &data) {
+std::string format_event(const json::object &data) {
   return fmt::format("data: {}\n\n", json::serialize(data));
 }
 
@@ -149,7 +149,7 @@
     }
     if (!piece.empty()) {
       const bool written =
-          exchange.write(event_of({{"offset", sent}, {"text", piece}}));
+          exchange.write(format_event({{"offset", sent}, {"text", piece}}));
       if (!written) {
         return;
       }
@@ -160,7 +160,7 @@
       usage["prompt_tokens"] = from->prompt_tokens;
       usage["cached_tokens"] = from->cached_tokens;
       usage["completion_tokens"] = count_tokens(from->answer);
-      exchange.write(event_of({{"usage", std::move(usage)}}));
+      exchange.write(format_event({{"usage", std::move(usage)}}));
       break;
     }
   }
@@ -364,7 +364,7 @@
   while (load_.size() > 1 && load_[1].taken <= steady::now() - lag) {
     load_.pop_front();
   }
-  forget_old();
+  expire_generations();
   return std::chrono::duration<double, std::milli>(prefill_ms + step_ms);
 }
 
@@ -374,7 +374,7 @@
   cache_.store(done.program, done.prompt + done.message);
 }
 
-void engine::forget_old() {
+void engine::expire_generations() {
   std::erase_if(generations_, [](const auto &entry) {
     const generation &held = *entry.second;
     return held.done && steady::now() - held.finished > generation_retention;
--- a/src/stand_ins/engine/engine.hpp
+++ b/src/stand_ins/engine/engine.hpp
@@ -1,6 +1,6 @@
 // The stand-in model engine: continuous batching with a step-time model, a
-// limited prefix cache, priorities, streams that can be taken up again, and
-// orders fenced by epoch.
+// bounded prefix cache, priorities, resumable streams, and requests fenced by
+// epoch.
 #pragma once
 
 #include "http/server.hpp"
@@ -22,13 +22,13 @@
 struct engine_settings {
   std::string address;
   std::string model = "model-a";
-  std::uint64_t batch = 8; // requests generating at once
+  std::uint64_t batch = 8; // maximum requests in a batch
   std::uint64_t cache_blocks = 4096;
   double step_base_ms = 4.0;        // per decoding step
   double step_request_ms = 0.5;     // per request in the step
   double prefill_token_ms = 0.02;   // per token that is not cached
-  std::uint64_t load_lag_ms = 1000; // age of the load that is reported
-  std::uint64_t event_lag = 8;      // newest cache events held back
+  std::uint64_t load_lag_ms = 1000; // delay of the load report
+  std::uint64_t event_lag = 8;      // newest cache events not reported yet
   std::uint64_t event_gap = 16;     // one event in this many is dropped
   std::string log_level = "warning";
 };
@@ -46,8 +46,8 @@
     std::uint32_t priority = 0;
     std::string prompt;
     std::string answer;
-    std::string message;      // the answer as a message of the history
-    std::size_t produced = 0; // bytes of the answer made so far
+    std::string message;      // the answer as an assistant message
+    std::size_t produced = 0; // bytes of the answer generated so far
     std::uint64_t prompt_tokens = 0;
     std::uint64_t cached_tokens = 0;
     bool prefilled = false;
@@ -74,15 +74,16 @@
   void export_cache(http::exchange &exchange);
   void import_cache(http::exchange &exchange);
   void start_drain(http::exchange &exchange);
-  /// Answers and returns false when the order's epoch has been passed.
+  /// Records the request's epoch when it is the highest so far.
+  /// @return false when the epoch is stale; status 409 has been sent then.
   bool check_epoch(http::exchange &exchange);
 
   void run();
-  /// Admits waiting requests and makes one token for each running one.
-  /// @return how long the step takes.
+  /// Admits waiting requests and generates one token for each running one.
+  /// @return the simulated duration of the step.
   std::chrono::duration<double, std::milli> step();
   void finish(generation &done);
-  void forget_old();
+  void expire_generations();
 
   engine_settings settings_;
   boost::fibers::mutex mutex_;
--- a/src/stand_ins/engine/prefix_cache.cpp
+++ b/src/stand_ins/engine/prefix_cache.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Calls `visit` with the key of every whole block of the text, until it
+/// Calls `visit` with the key of each complete block of the text until `visit`
 /// returns false.
 template <typename Visit>
 void for_each_block(std::string_view text, Visit visit) {
@@ -43,12 +43,12 @@
 }
 
 void prefix_cache::release(const std::string &program) {
-  const auto found = held_.find(program);
-  if (found == held_.end()) {
+  const auto found = blocks_by_program_.find(program);
+  if (found == blocks_by_program_.end()) {
     return;
   }
   const std::set<std::uint64_t> keys = std::move(found->second);
-  held_.erase(found);
+  blocks_by_program_.erase(found);
   for (const std::uint64_t key : keys) {
     const auto stored = blocks_.find(key);
     if (stored == blocks_.end()) {
@@ -63,8 +63,8 @@
 
 std::vector<std::uint64_t>
 prefix_cache::blocks_of(const std::string &program) const {
-  const auto found = held_.find(program);
-  if (found == held_.end()) {
+  const auto found = blocks_by_program_.find(program);
+  if (found == blocks_by_program_.end()) {
     return {};
   }
   return {found->second.begin(), found->second.end()};
@@ -79,7 +79,7 @@
 
 std::vector<std::string> prefix_cache::programs() const {
   std::vector<std::string> names;
-  for (const auto &[program, keys] : held_) {
+  for (const auto &[program, keys] : blocks_by_program_) {
     names.push_back(program);
   }
   return names;
@@ -88,32 +88,32 @@
 void prefix_cache::touch(std::uint64_t key, const std::string &program) {
   auto found = blocks_.find(key);
   if (found == blocks_.end()) {
-    if (blocks_.size() >= capacity_ && !by_age_.empty()) {
-      remove(by_age_.front());
+    if (blocks_.size() >= capacity_ && !lru_.empty()) {
+      remove(lru_.front());
     }
-    by_age_.push_back(key);
-    found = blocks_.emplace(key, block{{}, std::prev(by_age_.end())}).first;
+    lru_.push_back(key);
+    found = blocks_.emplace(key, block{{}, std::prev(lru_.end())}).first;
     record(true, key);
   } else {
-    by_age_.splice(by_age_.end(), by_age_, found->second.age);
+    lru_.splice(lru_.end(), lru_, found->second.age);
   }
   found->second.holders.insert(program);
-  held_[program].insert(key);
+  blocks_by_program_[program].insert(key);
 }
 
 void prefix_cache::remove(std::uint64_t key) {
   const auto found = blocks_.find(key);
   for (const std::string &holder : found->second.holders) {
-    const auto held = held_.find(holder);
-    if (held == held_.end()) {
+    const auto held = blocks_by_program_.find(holder);
+    if (held == blocks_by_program_.end()) {
       continue;
     }
     held->second.erase(key);
     if (held->second.empty()) {
-      held_.erase(held);
+      blocks_by_program_.erase(held);
     }
   }
-  by_age_.erase(found->second.age);
+  lru_.erase(found->second.age);
   blocks_.erase(found);
   record(false, key);
 }
--- a/src/stand_ins/engine/prefix_cache.hpp
+++ b/src/stand_ins/engine/prefix_cache.hpp
@@ -1,6 +1,5 @@
-// The stand-in engine's prefix cache: blocks of prompt text, found by the hash
-// of everything up to their end, limited in number, the least recently used
-// evicted first.
+// The stand-in engine's prefix cache: a bounded LRU cache of prompt blocks.
+// Each block is keyed by the hash of the whole text up to its end.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +15,7 @@
 
 struct cache_event {
   std::uint64_t number = 0;
-  bool stored = false; // otherwise removed
+  bool stored = false; // false: removed
   std::uint64_t block = 0;
 };
 
@@ -25,17 +24,17 @@
   static constexpr std::size_t tokens_per_block = 16;
   static constexpr std::size_t bytes_per_block = 64;
 
-  /// @param capacity blocks that fit.
+  /// @param capacity maximum number of blocks.
   explicit prefix_cache(std::size_t capacity) : capacity_(capacity) {}
 
-  /// @return tokens at the start of the text that are cached.
+  /// @return the number of tokens in the longest cached prefix of the text.
   std::uint64_t cached_tokens(std::string_view text);
-  /// Stores a text's blocks for a program.
+  /// Stores the complete blocks of a text and records the program as a holder.
   void store(const std::string &program, std::string_view text);
-  /// Frees what only this program held.
+  /// Removes the program as a holder, and evicts blocks without a holder.
   void release(const std::string &program);
 
-  /// The blocks that a program holds, for export.
+  /// Returns the keys of the blocks that a program holds, for export.
   [[nodiscard]] std::vector<std::uint64_t>
   blocks_of(const std::string &program) const;
   void import(const std::string &program,
@@ -44,7 +43,7 @@
   [[nodiscard]] std::size_t used() const { return blocks_.size(); }
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
   [[nodiscard]] std::vector<std::string> programs() const;
-  /// All events so far, oldest first.
+  /// Returns all store and removal events, oldest first.
   [[nodiscard]] const std::vector<cache_event> &events() const {
     return events_;
   }
@@ -61,8 +60,8 @@
 
   std::size_t capacity_;
   std::unordered_map<std::uint64_t, block> blocks_;
-  std::list<std::uint64_t> by_age_; // least recently used first
-  std::map<std::string, std::set<std::uint64_t>> held_;
+  std::list<std::uint64_t> lru_; // least recently used first
+  std::map<std::string, std::set<std::uint64_t>> blocks_by_program_;
   std::vector<cache_event> events_;
 };
 
--- a/src/stand_ins/fault_proxy/fault_proxy.cpp
+++ b/src/stand_ins/fault_proxy/fault_proxy.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-constexpr std::size_t piece_bytes = 65536;
-/// How often a held connection looks whether its fault has ended.
-constexpr duration_ms hold_check{10};
+constexpr std::size_t buffer_bytes = 65536;
+/// Interval between checks whether held data may be forwarded.
+constexpr duration_ms hold_poll_interval{10};
 constexpr std::string_view delay_word = "delay-";
 constexpr std::string_view reset_word = "reset";
-constexpr std::string_view every_link = "all";
+constexpr std::string_view all_links = "all";
 
 void reset(tcp::socket &socket) {
   boost::system::error_code ignored;
@@ -91,8 +91,8 @@
 void proxy_link::reset_connections() {
   const auto all = std::exchange(open_, {});
   for (const auto &[number, weak] : all) {
-    if (const auto over = weak.lock()) {
-      over->end();
+    if (const auto conn = weak.lock()) {
+      conn->end();
     }
   }
 }
@@ -107,89 +107,90 @@
 
 asio::awaitable<void> proxy_link::accept(tcp::acceptor acceptor) {
   while (true) {
-    const auto over = std::make_shared<connection>(io_);
-    const auto [ec] = co_await acceptor.async_accept(over->client, as_result);
+    const auto conn = std::make_shared<connection>(io_);
+    const auto [ec] = co_await acceptor.async_accept(conn->client, as_result);
     if (ec) {
-      asio::steady_timer pause(io_, hold_check);
+      asio::steady_timer pause(io_, hold_poll_interval);
       co_await pause.async_wait(as_result);
       continue;
     }
     if (fault_.refuses) {
-      reset(over->client);
+      reset(conn->client);
       continue;
     }
     std::erase_if(open_,
                   [](const auto &entry) { return entry.second.expired(); });
-    open_[++next_] = over;
+    open_[++next_] = conn;
     asio::co_spawn(
-        io_, [self = shared_from_this(), over] { return self->serve(over); },
+        io_, [self = shared_from_this(), conn] { return self->serve(conn); },
         asio::detached);
   }
 }
 
-asio::awaitable<void> proxy_link::serve(connection_ptr over) {
+asio::awaitable<void> proxy_link::serve(connection_ptr conn) {
   const auto self = shared_from_this();
   const auto address = http::parse_address(upstream_);
   if (!address) {
-    over->end();
+    conn->end();
     co_return;
   }
-  const auto [ec] = co_await over->process.async_connect(
+  const auto [ec] = co_await conn->process.async_connect(
       tcp::endpoint(address.value().ip, address.value().port), as_result);
   if (ec) {
-    over->end(); // the process is down: its callers see a reset
+    conn->end(); // the upstream is down: reset the client
     co_return;
   }
-  for (const direction way : {direction::to_process, direction::from_process}) {
+  for (const direction flow :
+       {direction::to_process, direction::from_process}) {
     asio::co_spawn(
-        io_, [self, over, way] { return self->pump(over, way); },
+        io_, [self, conn, flow] { return self->pump(conn, flow); },
         asio::detached);
   }
 }
 
-asio::awaitable<void> proxy_link::pump(connection_ptr over, direction way) {
+asio::awaitable<void> proxy_link::pump(connection_ptr conn, direction flow) {
   const auto self = shared_from_this();
-  const bool inward = way == direction::to_process;
-  tcp::socket &from = inward ? over->client : over->process;
-  tcp::socket &to = inward ? over->process : over->client;
-  std::vector<char> buf(piece_bytes);
+  const bool inward = flow == direction::to_process;
+  tcp::socket &from = inward ? conn->client : conn->process;
+  tcp::socket &to = inward ? conn->process : conn->client;
+  std::vector<char> buf(buffer_bytes);
   while (true) {
     const auto [ec, n] =
         co_await from.async_read_some(asio::buffer(buf), as_result);
     if (ec == asio::error::eof) {
-      co_await wait_until_passing(over, way);
+      co_await wait_until_released(conn, flow);
       boost::system::error_code ignored;
       to.shutdown(tcp::socket::shutdown_send, ignored);
       co_return;
     }
     if (ec) {
-      over->end();
+      conn->end();
       co_return;
     }
-    co_await wait_until_passing(over, way);
+    co_await wait_until_released(conn, flow);
     const auto [lost, written] =
         co_await asio::async_write(to, asio::buffer(buf.data(), n), as_result);
     if (lost) {
-      over->end();
+      conn->end();
       co_return;
     }
   }
 }
 
-bool proxy_link::holds(direction way) const {
-  return way == direction::to_process ? fault_.holds_requests
-                                      : fault_.holds_answers;
+bool proxy_link::holds(direction flow) const {
+  return flow == direction::to_process ? fault_.holds_requests
+                                       : fault_.holds_answers;
 }
 
-asio::awaitable<void> proxy_link::wait_until_passing(connection_ptr over,
-                                                     direction way) {
+asio::awaitable<void> proxy_link::wait_until_released(connection_ptr conn,
+                                                      direction flow) {
   asio::steady_timer timer(io_);
   if (fault_.delay.count() > 0) {
     timer.expires_after(fault_.delay);
     co_await timer.async_wait(as_result);
   }
-  while (holds(way) && over->client.is_open()) {
-    timer.expires_after(hold_check);
+  while (holds(flow) && conn->client.is_open()) {
+    timer.expires_after(hold_poll_interval);
     co_await timer.async_wait(as_result);
   }
 }
@@ -214,12 +215,12 @@
   const std::string_view word = target.substr(slash + 1);
   const std::optional<link_fault> fault = parse_fault(word);
   const bool resets = word == reset_word;
-  const bool known = name == every_link || links_.contains(name);
+  const bool known = name == all_links || links_.contains(name);
   if (!known || (!fault && !resets)) {
     return false;
   }
   for (const auto &[each, link] : links_) {
-    if (name != every_link && name != each) {
+    if (name != all_links && name != each) {
       continue;
     }
     if (resets) {
--- a/src/stand_ins/fault_proxy/fault_proxy.hpp
+++ b/src/stand_ins/fault_proxy/fault_proxy.hpp
@@ -1,6 +1,6 @@
-// A TCP proxy on loopback that injects faults into what passes through it. The
-// fault soak puts one link before each address of a process, so that links can
-// be disturbed from outside the programs under test.
+// A TCP proxy on loopback that injects delays, stalls and resets. The fault
+// soak puts one link in front of each listening address, so that network faults
+// need no support in the programs under test.
 #pragma once
 
 #include "base/error.hpp"
@@ -16,37 +16,37 @@
 
 namespace heathtrestle::stand_ins {
 
-/// What is wrong with a link. A sound link has the default value.
+/// The fault injected into a link. The default value injects none.
 struct link_fault {
-  /// Every piece of data is passed on this much later, in both directions.
+  /// Delay before each read of data is forwarded, in both directions.
   duration_ms delay{0};
-  /// Bytes towards the listening process are held back until the fault ends.
+  /// Holds data sent to the upstream process until the fault ends.
   bool holds_requests = false;
-  /// Bytes from the listening process are held back until the fault ends.
+  /// Holds data sent by the upstream process until the fault ends.
   bool holds_answers = false;
-  /// New connections are reset at once.
+  /// Resets new connections at once.
   bool refuses = false;
 
   bool operator==(const link_fault &) const = default;
 };
 
-/// Reads a fault as the control page spells it: `sound`, `refuse`, `silent`,
+/// Parses a fault name of the control page: `sound`, `refuse`, `silent`,
 /// `hold-requests`, `hold-answers`, or `delay-MS` with milliseconds.
-/// @return nothing for any other word.
+/// @return `nullopt` for any other word.
 std::optional<link_fault> parse_fault(std::string_view word);
 
-/// One listening address and the process behind it.
+/// Forwards connections from one listening address to one upstream process.
 class proxy_link : public std::enable_shared_from_this<proxy_link> {
 public:
   /// @param upstream "ip:port" of the process.
   proxy_link(asio::io_context &io, std::string upstream);
 
-  /// Accepts connections at `address` until the process ends.
+  /// Accepts connections at `address` until the proxy exits.
   result<void> listen(const std::string &address);
 
-  /// Takes effect on open connections and on those to come.
+  /// Applies the fault to open and future connections.
   void set_fault(const link_fault &fault);
-  /// Resets all connections that are open.
+  /// Resets all open connections.
   void reset_connections();
 
   [[nodiscard]] std::size_t open_connections() const;
@@ -57,10 +57,11 @@
   enum class direction : std::uint8_t { to_process, from_process };
 
   asio::awaitable<void> accept(tcp::acceptor acceptor);
-  asio::awaitable<void> serve(connection_ptr over);
-  asio::awaitable<void> pump(connection_ptr over, direction way);
-  [[nodiscard]] bool holds(direction way) const;
-  asio::awaitable<void> wait_until_passing(connection_ptr over, direction way);
+  asio::awaitable<void> serve(connection_ptr conn);
+  asio::awaitable<void> pump(connection_ptr conn, direction flow);
+  [[nodiscard]] bool holds(direction flow) const;
+  asio::awaitable<void> wait_until_released(connection_ptr conn,
+                                            direction flow);
 
   asio::io_context &io_;
   std::string upstream_;
@@ -73,13 +74,14 @@
 public:
   explicit fault_proxy(asio::io_context &io) : io_(io) {}
 
-  /// @return an error when `listen` is no free address.
+  /// Adds a link.
+  /// @return an error when it cannot listen at `listen`.
   result<void> add(const std::string &name, const std::string &listen,
                    const std::string &upstream);
 
-  /// Carries out `/LINK/FAULT`; the fault `reset` ends the link's connections.
-  /// The link `all` stands for every link.
-  /// @return false when link or fault is not known; nothing was done then.
+  /// Executes the control request `/LINK/FAULT`. The fault `reset` resets the
+  /// link's open connections. The link `all` selects every link.
+  /// @return false, without any effect, when the link or fault is unknown.
   bool carry_out(std::string_view target);
 
 private:
--- a/src/stand_ins/fault_proxy/main.cpp
+++ b/src/stand_ins/fault_proxy/main.cpp
@@ -1,5 +1,5 @@
-// heathtrestle-fault-proxy: links on loopback whose faults are set from
-// outside, for the fault soak.
+// heathtrestle-fault-proxy: TCP links on loopback with faults that are set over
+// HTTP, for the fault soak.
 #include "stand_ins/fault_proxy/fault_proxy.hpp"
 
 #include "config/settings_schema.hpp"
--- a/src/stand_ins/platform/platform.cpp
+++ b/src/stand_ins/platform/platform.cpp
@@ -54,8 +54,8 @@
   } else if (part(1) == "tools" && part(3) == "counts") {
     count_invocations(exchange, part(2));
   } else if (part(1) == "tools" && part(3) == "invocations") {
-    post ? invoke_tool(exchange, part(2)) : ask_tool(exchange, part(2));
-  } else if (!pass_fault(exchange)) {
+    post ? invoke_tool(exchange, part(2)) : query_invocation(exchange, part(2));
+  } else if (!apply_fault(exchange)) {
     return;
   } else if (part(1) == "objects" && path.size() == 4) {
     handle_object(exchange, {part(2), part(3)});
@@ -162,7 +162,7 @@
       }
     }
   }
-  if (!pass_fault(exchange)) {
+  if (!apply_fault(exchange)) {
     return;
   }
   accept(exchange, {{"revision", revision}, {"objects", std::move(changed)}});
@@ -202,8 +202,8 @@
     const std::scoped_lock lock(mutex_);
     hangs = tool_modes_[tool] == "hang";
     if (!hangs) {
-      // Deliberately not deduplicated: each run counts, so that a second run
-      // of an unrepeatable call is seen.
+      // Not deduplicated by the idempotency key, so that tests detect a second
+      // run of a call that must not be repeated.
       boost::system::error_code failure;
       const json::value echo = json::parse(request.body, failure);
       invocation &made = invocations_[tool][key];
@@ -225,7 +225,8 @@
   exchange.respond(http::json_response(200, answer));
 }
 
-void platform::ask_tool(http::exchange &exchange, const std::string &tool) {
+void platform::query_invocation(http::exchange &exchange,
+                                const std::string &tool) {
   std::string answer;
   {
     const std::scoped_lock lock(mutex_);
@@ -285,7 +286,7 @@
   accept(exchange, {{"model", model}, {"weights", "stand-in"}});
 }
 
-bool platform::pass_fault(http::exchange &exchange) {
+bool platform::apply_fault(http::exchange &exchange) {
   fault present = fault::none;
   std::uint64_t delay_ms = 0;
   {
--- a/src/stand_ins/platform/platform.hpp
+++ b/src/stand_ins/platform/platform.hpp
@@ -1,7 +1,7 @@
 // The stand-in platform: an object store with versions, compare-and-set and
 // watches, a lagging list of machines, a rate-limited weight store and tool
-// services. On command it is down, slow, or loses answers after the change
-// took effect.
+// services. Injected faults make it unavailable, slow, or lose the response
+// after a change has taken effect.
 #pragma once
 
 #include "http/server.hpp"
@@ -20,7 +20,7 @@
 
 struct platform_settings {
   std::string address;
-  std::uint64_t watcher_limit = 4;     // watches at once
+  std::uint64_t watcher_limit = 4;     // concurrent watches
   std::uint64_t machine_lag_ms = 2000; // delay of the machine list
   std::uint64_t weight_rate = 2;       // weight reads a second
   std::uint64_t tool_delay_ms = 20;    // time a tool takes
@@ -55,13 +55,13 @@
   void set_fault(http::exchange &exchange);
   void set_machine(http::exchange &exchange, const std::string &name);
   void invoke_tool(http::exchange &exchange, const std::string &tool);
-  void ask_tool(http::exchange &exchange, const std::string &tool);
+  void query_invocation(http::exchange &exchange, const std::string &tool);
   void set_tool_mode(http::exchange &exchange, const std::string &tool);
   void count_invocations(http::exchange &exchange, const std::string &tool);
   void read_weights(http::exchange &exchange, const std::string &model);
-  /// Plays the present fault.
-  /// @return false when the request has been answered by it.
-  bool pass_fault(http::exchange &exchange);
+  /// Applies the injected fault to a request.
+  /// @return false when an error response has been sent.
+  bool apply_fault(http::exchange &exchange);
   std::uint64_t put(const object_key &key, stored object);
 
   platform_settings settings_;
--- a/src/stand_ins/replies.hpp
+++ b/src/stand_ins/replies.hpp
@@ -1,4 +1,4 @@
-// What the stand-ins' HTTP handlers have in common.
+// Request parsing and JSON responses shared by the stand-ins' HTTP handlers.
 #pragma once
 
 #include "http/server.hpp"
@@ -11,14 +11,14 @@
 
 namespace heathtrestle::stand_ins {
 
-/// A whole number, or 0 for anything else.
+/// Parses the digits at the start of the text; 0 when there are none.
 std::uint64_t number_of(const std::string &text);
 
-/// Answers with an error.
+/// Responds with the status and a JSON object with `why` as its `error`.
 void refuse(http::exchange &exchange, std::uint32_t status,
             std::string_view why);
 
-/// Answers with status 200.
+/// Responds with status 200 and the JSON object.
 void accept(http::exchange &exchange, const boost::json::object &body);
 
 } // namespace heathtrestle::stand_ins
--- a/src/stand_ins/serve.cpp
+++ b/src/stand_ins/serve.cpp
@@ -36,7 +36,8 @@
     std::_Exit(EXIT_FAILURE);
   }
   runtime::wait_for_stop(signals);
-  // A stand-in keeps nothing; what is open is cut off like an engine's death.
+  // Stand-ins hold no durable state. Exiting at once cuts open connections off,
+  // as a crash would.
   std::_Exit(EXIT_SUCCESS);
 }
 
--- a/src/stand_ins/serve.hpp
+++ b/src/stand_ins/serve.hpp
@@ -1,4 +1,4 @@
-// Runs a stand-in's HTTP server until the process is asked to end.
+// Runs a stand-in's HTTP server until the process receives a stop signal.
 #pragma once
 
 #include "config/settings_schema.hpp"
@@ -11,7 +11,7 @@
 
 namespace heathtrestle::stand_ins {
 
-/// What a stand-in needs to be served.
+/// Name, purpose and settings of a stand-in program.
 struct served_program {
   std::string_view name;
   std::string_view purpose;
@@ -19,11 +19,13 @@
   const std::string &log_level; // bound to a setting
 };
 
-/// Makes the handler once the settings are read.
+/// Creates the request handler after the settings have been read.
 using make_handler = std::function<http::handler(runtime::fiber_pool &)>;
 
-/// Reads the command line, serves, and waits for the end.
-/// @return the process's exit code, when serving could not begin.
+/// Reads the command line, serves requests, and exits the process on a stop
+/// signal or when the server fails to start.
+/// @return the exit code when the command line asks for no serving or the
+/// settings are invalid.
 int serve(int argc, char **argv, config::settings_schema &schema,
           const served_program &program, const make_handler &make);
 
--- a/tests/stand_ins/fault_proxy_test.cpp
+++ b/tests/stand_ins/fault_proxy_test.cpp
@@ -34,7 +34,7 @@
   tcp::socket client_{io_};
   tcp::socket served_{io_};
 
-  /// Runs until `done` or for a while.
+  /// Runs the event loop until `done` returns true, for at most 5 seconds.
   template <typename Done> bool run_until(Done done) {
     const timestamp end = steady_now() + duration_ms{5000};
     while (!done() && steady_now() < end) {
@@ -56,7 +56,7 @@
 
 public:
   void setUp() override {
-    // A port that was free a moment ago.
+    // Binds and releases an ephemeral port for the proxy.
     tcp::acceptor probe(io_, {asio::ip::address_v4::loopback(), 0});
     proxy_at_ = probe.local_endpoint();
     const std::string listen = address_of(probe);
