--- a/src/config/configuration_store.cpp
+++ b/src/config/configuration_store.cpp
@@ -24,13 +24,13 @@
     return delta_outcome::gap;
   }
   for (const wire::ConfigurationObject &changed : delta.objects()) {
-    // An overlapping delta may carry an older state of an object that has
-    // changed since; the newer one stays.
+    // An overlapping delta may carry an older version of an object than the
+    // one stored; the newer version is kept.
     const auto known = objects_.find({changed.kind(), changed.name()});
     const bool older =
         known != objects_.end() && known->second.version() >= changed.version();
     if (!older) {
-      take(changed);
+      apply_object(changed);
     }
   }
   revision_ = delta.to_revision();
@@ -82,10 +82,11 @@
   return machine == nullptr || machine->state == machine_state::live;
 }
 
-void configuration_store::take(const wire::ConfigurationObject &changed) {
+void configuration_store::apply_object(
+    const wire::ConfigurationObject &changed) {
   objects_[{changed.kind(), changed.name()}] = changed;
   if (changed.removed()) {
-    forget(changed.kind(), changed.name());
+    remove_parsed(changed.kind(), changed.name());
     return;
   }
   auto parsed =
@@ -115,8 +116,8 @@
       parsed.value());
 }
 
-void configuration_store::forget(const std::string &kind,
-                                 const std::string &name) {
+void configuration_store::remove_parsed(const std::string &kind,
+                                        const std::string &name) {
   if (kind == "tenant") {
     tenants_.erase(name);
   } else if (kind == "class") {
--- a/src/config/configuration_store.hpp
+++ b/src/config/configuration_store.hpp
@@ -1,5 +1,6 @@
-// A node's copy of the shared configuration. It only ever moves up: a delta
-// that does not continue the present revision is ignored or asked for again.
+// A node's copy of the shared configuration at one revision. The revision only
+// increases: known deltas are ignored, and a delta that starts at a later
+// revision is reported as a gap, so that the caller pulls what is missing.
 #pragma once
 
 #include "config/objects.hpp"
@@ -15,16 +16,16 @@
 enum class delta_outcome : std::uint8_t {
   applied,
   already_known,
-  gap, // changes between are missing: pull them
+  gap, // earlier changes are missing and must be pulled
 };
 
 class configuration_store {
 public:
-  /// Takes in a delta. Objects whose document does not parse keep their last
-  /// good value; `rejected` says which.
+  /// Applies a delta. Objects whose document does not parse keep their last
+  /// valid value and are reported by `rejected`.
   delta_outcome apply(const wire::ConfigurationDelta &delta);
 
-  /// All changes after `revision`, for a peer that is behind.
+  /// Returns all changes after `revision`, for a peer that is behind.
   [[nodiscard]] wire::ConfigurationDelta
   changes_after(std::uint64_t revision) const;
 
@@ -43,16 +44,17 @@
   [[nodiscard]] const std::map<std::string, backend_object> &backends() const {
     return backends_;
   }
-  /// False for a back end that drains, that has left the configuration, or
-  /// whose machine is leaving: it gets no new work.
+  /// Returns whether a back end may get new work: it is configured, it is not
+  /// draining, and its machine is not leaving.
   [[nodiscard]] bool accepts_work(const std::string &backend) const;
 
 private:
-  void take(const wire::ConfigurationObject &changed);
-  void forget(const std::string &kind, const std::string &name);
+  void apply_object(const wire::ConfigurationObject &changed);
+  void remove_parsed(const std::string &kind, const std::string &name);
 
   std::uint64_t revision_ = 0;
-  // Removed objects stay listed, so that peers learn of the removal.
+  // Removed objects are kept as tombstones, so that deltas for peers include
+  // the removal.
   std::map<std::pair<std::string, std::string>, wire::ConfigurationObject>
       objects_;
   std::map<std::string, tenant_object> tenants_;
--- a/src/config/objects.cpp
+++ b/src/config/objects.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Reads the fields of one document, keeping the first complaint.
+/// Reads and validates the fields of one document. Keeps the first error.
 class field_reader {
 public:
   field_reader(std::string_view kind, std::string_view name,
@@ -21,56 +21,57 @@
   template <typename Integer>
   void integer(std::string_view key, Integer &target, std::uint64_t least,
                std::uint64_t most) {
-    const json::value *value = take(key);
+    const json::value *value = find_field(key);
     if (value == nullptr) {
       return;
     }
     boost::system::error_code failure;
     const auto number = value->to_number<std::uint64_t>(failure);
     if (failure || number < least || number > most) {
-      complain(key, fmt::format("a whole number from {} to {}", least, most));
+      report_invalid(key,
+                     fmt::format("a whole number from {} to {}", least, most));
       return;
     }
     target = static_cast<Integer>(number);
   }
 
   void text(std::string_view key, std::string &target, bool required) {
-    const json::value *value = take(key);
+    const json::value *value = find_field(key);
     if (value == nullptr) {
       if (required) {
-        complain(key, "a text, which is missing");
+        report_invalid(key, "a text, which is missing");
       }
       return;
     }
     if (!value->is_string() || (required && value->as_string().empty())) {
-      complain(key, "a text");
+      report_invalid(key, "a text");
       return;
     }
     target = std::string(value->as_string());
   }
 
   void texts(std::string_view key, std::set<std::string> &target) {
-    const json::value *value = take(key);
+    const json::value *value = find_field(key);
     if (value == nullptr) {
       return;
     }
     if (!value->is_array()) {
-      complain(key, "a list of texts");
+      report_invalid(key, "a list of texts");
       return;
     }
     for (const json::value &item : value->as_array()) {
       if (!item.is_string()) {
-        complain(key, "a list of texts");
+        report_invalid(key, "a list of texts");
         return;
       }
       target.emplace(item.as_string());
     }
   }
 
-  /// Reads one of two words as false or true.
+  /// Reads a field with two allowed values: `no` as false, `yes` as true.
   std::optional<bool> choice(std::string_view key, std::string_view no,
                              std::string_view yes) {
-    const json::value *value = take(key);
+    const json::value *value = find_field(key);
     if (value == nullptr) {
       return std::nullopt;
     }
@@ -80,31 +81,31 @@
     if (value->is_string() && value->as_string() == yes) {
       return true;
     }
-    complain(key, fmt::format("\"{}\" or \"{}\"", no, yes));
+    report_invalid(key, fmt::format("\"{}\" or \"{}\"", no, yes));
     return std::nullopt;
   }
 
   result<object> finish(object parsed) {
     for (const json::key_value_pair &field : fields_) {
       if (!known_.contains(field.key())) {
-        complain(field.key(), "no such field");
+        report_invalid(field.key(), "no such field");
       }
     }
-    if (!complaint_.empty()) {
-      return fail(error_code::invalid_request, complaint_, "parse_object");
+    if (!first_error_.empty()) {
+      return fail(error_code::invalid_request, first_error_, "parse_object");
     }
     return parsed;
   }
 
 private:
-  const json::value *take(std::string_view key) {
+  const json::value *find_field(std::string_view key) {
     known_.emplace(key);
     return fields_.if_contains(key);
   }
 
-  void complain(std::string_view key, std::string_view expected) {
-    if (complaint_.empty()) {
-      complaint_ =
+  void report_invalid(std::string_view key, std::string_view expected) {
+    if (first_error_.empty()) {
+      first_error_ =
           fmt::format("{}: field {}: expected {}", subject_, key, expected);
     }
   }
@@ -112,7 +113,7 @@
   std::string subject_;
   const json::object &fields_;
   std::set<std::string, std::less<>> known_;
-  std::string complaint_;
+  std::string first_error_;
 };
 
 constexpr std::uint64_t largest_weight = 1000000;
--- a/src/config/objects.hpp
+++ b/src/config/objects.hpp
@@ -1,5 +1,5 @@
-// The objects of the shared configuration, as parsed from the JSON documents
-// that the platform keeps. docs/SETTINGS.md describes every field.
+// The objects of the shared configuration, parsed from the JSON documents in
+// the platform's object store. docs/SETTINGS.md describes every field.
 #pragma once
 
 #include "base/error.hpp"
@@ -13,24 +13,24 @@
 
 namespace heathtrestle::config {
 
-/// A customer; programs of tenants share capacity by weight.
+/// A customer. Tenants share capacity in proportion to their weights.
 struct tenant_object {
   std::uint32_t weight = 1;
-  std::set<std::string> classes; // that its programs may be created in
+  std::set<std::string> classes; // classes allowed for its programs
 };
 
-/// A priority class with its price and the budget of each program in it.
+/// A priority class with its price and the budget of each of its programs.
 struct class_object {
   std::uint32_t priority = 0;     // 0 is the most urgent
-  std::uint64_t price = 0;        // micro-units a token
-  std::uint64_t budget = 0;       // micro-units a program
-  std::uint32_t turn_limit = 0;   // calls a program
+  std::uint64_t price = 0;        // micro-units per token
+  std::uint64_t budget = 0;       // micro-units per program
+  std::uint32_t turn_limit = 0;   // calls per program
   std::set<std::string> programs; // names allowed; empty: all
 };
 
 struct model_object {
-  /// Fewest bytes of prompt that one token can stand for: it turns the length
-  /// of a prompt into an upper bound on its tokens.
+  /// Smallest number of prompt bytes per token. Dividing the length of a prompt
+  /// by it gives an upper bound on its tokens.
   std::uint32_t minimum_bytes_per_token = 1;
   std::uint32_t default_output_tokens = 256;
 };
@@ -43,15 +43,15 @@
   std::string model;
   std::string zone;
   std::string machine;            // empty: not tied to the machine list
-  std::uint32_t slots = 8;        // requests sent at once
-  std::uint32_t queue_limit = 64; // requests waiting before refusals
+  std::uint32_t slots = 8;        // maximum concurrent requests
+  std::uint32_t queue_limit = 64; // maximum waiting requests; more are rejected
   backend_state state = backend_state::active;
 };
 
 struct tool_object {
   std::string address; // "ip:port"
   std::uint64_t time_limit_ms = 30000;
-  std::uint64_t price = 0; // micro-units a call
+  std::uint64_t price = 0; // micro-units per call
 };
 
 enum class machine_state : std::uint8_t { live, leaving };
@@ -63,7 +63,7 @@
 using object = std::variant<tenant_object, class_object, model_object,
                             backend_object, tool_object, machine_object>;
 
-/// Parses and checks one document.
+/// Parses and validates one document.
 /// @param kind "tenant", "class", "model", "backend", "tool" or "machine".
 /// @return `invalid_request` naming the field and what was expected.
 result<object> parse_object(std::string_view kind, std::string_view name,
--- a/src/config/relay.cpp
+++ b/src/config/relay.cpp
@@ -84,8 +84,9 @@
 void relay::forward(const membership::member_table &members,
                     const wire::ConfigurationDelta &delta,
                     effects::step &step) const {
-  // The running members in the order of their ids, turned so that the root is
-  // first, form a heap: the children of position i are fan_out*i+1 and up.
+  // The running members, sorted by id and rotated so that the root is first,
+  // form an implicit tree: the children of position i are the fan_out members
+  // from position fan_out*i+1.
   std::vector<node_id> order;
   for (const wire::Member *member : members.running()) {
     order.emplace_back(member->node());
--- a/src/config/relay.hpp
+++ b/src/config/relay.hpp
@@ -1,7 +1,7 @@
-// Spreads the configuration over the region: a few watchers read the platform,
-// everyone else gets each change along a tree, and gaps are pulled from peers.
-// The platform is never asked by more than the watchers, and a node that joins
-// while it is down learns everything from a peer.
+// Distributes the shared configuration within a region. A few watchers
+// read it from the platform and forward each change along a tree of the running
+// members; a node that misses changes or joins pulls them from a peer, so that
+// the platform serves only the watchers and may be down meanwhile.
 #pragma once
 
 #include "base/ids.hpp"
@@ -25,7 +25,7 @@
 public:
   explicit relay(relay_options options) : options_(options) {}
 
-  /// A delta read from the platform by this node.
+  /// Applies a delta that this node read from the platform, and forwards it.
   void on_read(configuration_store &store,
                const membership::member_table &members,
                wire::ConfigurationDelta delta, effects::step &step);
@@ -34,10 +34,12 @@
                 const wire::ConfigurationDelta &delta, effects::step &step);
   void on_pull(const configuration_store &store, node_id sender,
                const wire::ConfigurationPull &pull, effects::step &step);
-  /// A peer mentioned its revision.
+  /// Pulls from a peer that reports a later revision, at most once per
+  /// `pull_interval`.
   void on_peer_revision(const configuration_store &store, node_id peer,
                         std::uint64_t revision, effects::step &step);
-  /// Decides whether this node is one of the watchers.
+  /// Checks whether this node is one of the watchers, and starts or stops
+  /// watching the platform when that has changed.
   void tick(const membership::member_table &members, effects::step &step);
 
 private:
--- a/src/config/settings_schema.cpp
+++ b/src/config/settings_schema.cpp
@@ -32,8 +32,8 @@
   return whole ? std::optional(number) : std::nullopt;
 }
 
-/// An assignment that takes one number within a range.
-/// @param store puts the number where it belongs.
+/// Returns a `setting::assign` function that accepts one number within a range.
+/// @param store writes the number to the setting's variable.
 template <typename Number, typename Store>
 auto number_assignment(Number least, Number most, Store store) {
   return [least, most, store](const std::vector<std::string> &values) {
@@ -52,8 +52,8 @@
   return std::find(texts.begin(), texts.end(), text) != texts.end();
 }
 
-/// A TOML value as the texts that `setting::assign` takes; nothing for types
-/// that no setting has.
+/// Converts a TOML value to the texts that `setting::assign` takes; `nullopt`
+/// for types that no setting has.
 std::optional<std::vector<std::string>> texts_of(const toml::node &node) {
   if (const auto *text = node.as_string()) {
     return std::vector{text->get()};
--- a/src/config/settings_schema.hpp
+++ b/src/config/settings_schema.hpp
@@ -1,5 +1,5 @@
-// The settings of a program: a list of keys with types, ranges and texts, read
-// from a TOML file and from flags of the same names, and checked in one place.
+// The settings of a program: keys with types, ranges, defaults and help texts.
+// Values come from a TOML file and from command-line flags of the same names.
 #pragma once
 
 #include "base/error.hpp"
@@ -13,11 +13,11 @@
 
 namespace heathtrestle::config {
 
-/// One key. `assign` checks a value written as text and stores it.
+/// One setting. `assign` validates a value given as text and stores it.
 struct setting {
   std::string key;      // "section.name"
-  std::string expected; // what a value must look like
-  std::string initial;  // the default, as text
+  std::string expected; // description of valid values
+  std::string initial;  // default value as text
   std::string help;
   bool required = false;
   bool is_list = false;
@@ -27,7 +27,8 @@
 
 class settings_schema {
 public:
-  /// Each of these binds a key to a variable that holds its default.
+  /// Each of these functions binds a key to a variable, whose present value is
+  /// the default.
   void text(std::string key, std::string &target, std::string help,
             bool required = false);
   void texts(std::string key, std::vector<std::string> &target,
@@ -41,7 +42,7 @@
   void flag(std::string key, bool &target, std::string help);
   void choice(std::string key, std::string &target,
               std::vector<std::string> options, std::string help);
-  /// A list of which every member must be one of the options.
+  /// Binds a list whose items must all be among the options.
   void choices(std::string key, std::vector<std::string> &target,
                std::vector<std::string> options, std::string help);
   void address(std::string key, std::string &target, std::string help,
@@ -51,11 +52,12 @@
     return settings_;
   }
 
-  /// Reads a TOML file.
+  /// Reads and assigns the settings of a TOML file.
   /// @return `invalid_request` with file, line, key and what was expected.
   result<void> load_file(const std::string &path);
 
-  /// Assigns one key from a flag.
+  /// Assigns one key.
+  /// @param origin where the values come from, for error messages.
   result<void> assign(const std::string &key,
                       const std::vector<std::string> &values,
                       const std::string &origin);
@@ -71,10 +73,10 @@
   std::vector<std::string> assigned_;
 };
 
-/// What the command line of a program asked for.
+/// The outcome of parsing a command line: run the program, or exit.
 enum class start_choice : std::uint8_t { run, exit_success, exit_failure };
 
-/// Exit code for settings or flags that are not accepted.
+/// Exit code for invalid settings or flags.
 inline constexpr int exit_code_bad_settings = 2;
 
 /// Reads `--config FILE`, one flag for each key, `--check-config` and
--- a/tests/config/configuration_store_test.cpp
+++ b/tests/config/configuration_store_test.cpp
@@ -41,7 +41,7 @@
     store.apply(delta(0, 5, "e", draining));
     CPPUNIT_ASSERT(store.apply(delta(0, 3, "e", active)) ==
                    delta_outcome::already_known);
-    // A later delta that carries an older state of the object.
+    // A later delta that carries an older version of the object.
     wire::ConfigurationDelta overlapping = delta(0, 6, "e", active);
     overlapping.mutable_objects(0)->set_version(3);
     CPPUNIT_ASSERT(store.apply(overlapping) == delta_outcome::applied);
