--- a/tests/docs/documents_test.cpp
+++ b/tests/docs/documents_test.cpp
@@ -1,5 +1,5 @@
-// Holds the documents to the code: every event and every setting is described,
-// and nothing is described that does not exist.
+// Checks the documents against the code: every event and setting is described,
+// and every described one exists.
 #include "daemon/daemon_settings.hpp"
 #include "forwarding/gateway_settings.hpp"
 #include "logging/event_catalogue.hpp"
@@ -22,7 +22,7 @@
   return text.str();
 }
 
-/// The first cells of a document's tables that look like `pattern`.
+/// Returns the first cells of table rows in a document that match `pattern`.
 std::set<std::string> first_cells(const std::string &document,
                                   const std::string &pattern) {
   std::set<std::string> cells;
@@ -64,7 +64,7 @@
   }
 
 private:
-  /// The settings of one program against the section under `heading`.
+  /// Compares a program's settings with the section under `heading`.
   template <typename Settings>
   static void check_settings(const std::string &heading) {
     const std::string document = read_document("SETTINGS.md");
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -1,4 +1,5 @@
-// The server against what real callers get wrong.
+// HTTP server tests: streamed responses, and malformed, oversized and refused
+// requests.
 #include "http/client.hpp"
 #include "http/server.hpp"
 #include "runtime/fiber_pool.hpp"
@@ -85,7 +86,8 @@
   void a_refused_connection_was_surely_not_run() {
     const std::string address = server_->address();
     server_->stop_accepting();
-    // Closing is asynchronous: the server has closed once a connect fails.
+    // Closing is asynchronous: requests may succeed until the listener has
+    // closed.
     result<response> answer = send_to(address, {.path = "/"});
     while (answer.has_value()) {
       answer = send_to(address, {.path = "/"});
@@ -116,7 +118,7 @@
     return answered.get();
   }
 
-  /// Sends bytes as they are and returns all that comes back.
+  /// Sends raw bytes and returns everything received.
   std::string raw(const std::string &bytes) {
     const std::string address = server_->address();
     const int port = std::stoi(address.substr(address.rfind(':') + 1));
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,5 +1,5 @@
 // Runs all unit tests, or those whose path begins with an argument. Failures
-// that KNOWN-RED.txt lists are printed and passed over.
+// that KNOWN-RED.txt lists are printed and do not fail the run.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/TestFailure.h>
@@ -16,7 +16,7 @@
 #include <string>
 
 int main(int argc, char **argv) {
-  // What the tests provoke is asserted, not read.
+  // Hides warnings that tests provoke on purpose; the tests assert on results.
   heathtrestle::logging::configure("unit-tests",
                                    heathtrestle::logging::severity::error);
   CppUnit::TestResult controller;
--- a/tests/support/known_failures.hpp
+++ b/tests/support/known_failures.hpp
@@ -1,5 +1,5 @@
-// The failures that KNOWN-RED.txt lists: real faults that are still to be
-// mended. They are run and printed, and do not fail the run.
+// The known failures that KNOWN-RED.txt lists. These tests still run and their
+// failures are printed, but they do not fail the test run.
 #pragma once
 
 #include <fstream>
@@ -11,8 +11,8 @@
 
 class known_failures {
 public:
-  /// @param path a line for each test: its name, a colon, the cause and where
-  /// it is tracked. No file lists no failures.
+  /// @param path file with one line per test: its name, a colon, the cause and
+  /// where it is tracked. A missing file lists no failures.
   explicit known_failures(const std::string &path) {
     std::ifstream file(path);
     for (std::string line; std::getline(file, line);) {
--- a/tests/support/step_fixture.hpp
+++ b/tests/support/step_fixture.hpp
@@ -1,4 +1,4 @@
-// A step whose effects a test can look at.
+// A test fixture with a step at a fixed time, which exposes the step's effects.
 #pragma once
 
 #include "effects/step.hpp"
@@ -16,7 +16,7 @@
   effects::step &step() { return step_; }
   effects::effect_list &effects() { return effects_; }
 
-  /// The messages sent, without other effects.
+  /// Returns the envelopes of the messages sent, without other effects.
   [[nodiscard]] std::vector<wire::Envelope> sent() const {
     std::vector<wire::Envelope> envelopes;
     for (const wire::Effect &effect : effects_) {
--- a/tests/support/temporary_directory.hpp
+++ b/tests/support/temporary_directory.hpp
@@ -1,4 +1,4 @@
-// A folder for one test, removed with everything in it.
+// A temporary directory for one test, removed recursively on destruction.
 #pragma once
 
 #include <cstdlib>
@@ -15,11 +15,13 @@
         (std::filesystem::temp_directory_path() / "heathtrestle-test-XXXXXX")
             .string();
     if (::mkdtemp(path_.data()) == nullptr) {
-      throw std::runtime_error("cannot make a folder at " + path_);
+      throw std::runtime_error("cannot create a temporary directory at " +
+                               path_);
     }
   }
   ~temporary_directory() {
-    std::error_code ignored; // what is left is in the system's folder for that
+    std::error_code
+        ignored; // leftovers stay in the system's temporary directory
     std::filesystem::remove_all(path_, ignored);
   }
   temporary_directory(const temporary_directory &) = delete;
