--- a/src/stand_ins/engine/engine.cpp
+++ b/src/stand_ins/engine/engine.cpp
@@ -45,7 +45,7 @@
     import_cache(exchange);
   } else if (post && request.path == "/v1/fence") {
     if (check_epoch(exchange)) {
-      accept(exchange, {{"fenced", true}});
+      respond_ok(exchange, {{"fenced", true}});
     }
   } else if (post && request.path == "/v1/drain") {
     start_drain(exchange);
@@ -56,7 +56,7 @@
   } else if (request.path == "/v1/cache/programs") {
     report_programs(exchange);
   } else {
-    refuse(exchange, 404, "no such path");
+    respond_error(exchange, 404, "no such path");
   }
 }
 
@@ -66,7 +66,7 @@
   }
   const http::request &request = exchange.incoming();
   const std::string id = request.header("X-Request-Id");
-  const std::size_t offset = number_of(request.header("X-Resume-Offset"));
+  const std::size_t offset = parse_number(request.header("X-Resume-Offset"));
   std::shared_ptr<generation> target;
   {
     std::unique_lock lock(mutex_);
@@ -79,18 +79,18 @@
     boost::system::error_code failure;
     const json::value body = json::parse(request.body, failure);
     if (request.header("X-Start-Allowed") == "false") {
-      refuse(exchange, 404, "no such request");
+      respond_error(exchange, 404, "no such request");
       return;
     }
     if (failure || !body.is_object() ||
         !body.as_object().contains("messages")) {
-      refuse(exchange, 400, "expected an object with messages");
+      respond_error(exchange, 400, "expected an object with messages");
       return;
     }
     const json::object &fields = body.as_object();
     if (fields.contains("model") &&
         fields.at("model") != json::value(settings_.model)) {
-      refuse(exchange, 422, "another model is loaded here");
+      respond_error(exchange, 422, "another model is loaded here");
       return;
     }
     std::vector<std::string> messages;
@@ -108,13 +108,13 @@
     made->id = id;
     made->program = request.header("X-Program");
     made->priority =
-        static_cast<std::uint32_t>(number_of(request.header("X-Priority")));
+        static_cast<std::uint32_t>(parse_number(request.header("X-Priority")));
     made->answer = expected_answer(messages, max_tokens);
     made->message = assistant_message(made->answer);
     std::unique_lock lock(mutex_);
     if (draining_) {
       lock.unlock();
-      refuse(exchange, 503, "draining");
+      respond_error(exchange, 503, "draining");
       return;
     }
     target = generations_.emplace(id, made).first->second;
@@ -183,7 +183,7 @@
       changed_.notify_all();
     }
   }
-  accept(exchange, {{"cancelled", true}});
+  respond_ok(exchange, {{"cancelled", true}});
 }
 
 void engine::release(http::exchange &exchange) {
@@ -194,7 +194,7 @@
     const std::scoped_lock lock(mutex_);
     cache_.release(exchange.incoming().header("X-Program"));
   }
-  accept(exchange, {{"released", true}});
+  respond_ok(exchange, {{"released", true}});
 }
 
 void engine::report_load(http::exchange &exchange) {
@@ -208,16 +208,16 @@
       }
     }
   }
-  accept(exchange, {{"running", reported.running},
-                    {"waiting", reported.waiting},
-                    {"cached_blocks", reported.blocks}});
+  respond_ok(exchange, {{"running", reported.running},
+                        {"waiting", reported.waiting},
+                        {"cached_blocks", reported.blocks}});
 }
 
 void engine::report_events(http::exchange &exchange) {
   const auto &query = exchange.incoming().query;
   const auto given = query.find("after");
   const std::uint64_t after =
-      given == query.end() ? 0 : number_of(given->second);
+      given == query.end() ? 0 : parse_number(given->second);
   json::array events;
   {
     const std::scoped_lock lock(mutex_);
@@ -234,7 +234,7 @@
       }
     }
   }
-  accept(exchange, {{"events", std::move(events)}});
+  respond_ok(exchange, {{"events", std::move(events)}});
 }
 
 void engine::report_programs(http::exchange &exchange) {
@@ -248,9 +248,9 @@
     }
     used = cache_.used();
   }
-  accept(exchange, {{"programs", std::move(programs)},
-                    {"used_blocks", used},
-                    {"capacity_blocks", cache_.capacity()}});
+  respond_ok(exchange, {{"programs", std::move(programs)},
+                        {"used_blocks", used},
+                        {"capacity_blocks", cache_.capacity()}});
 }
 
 void engine::export_cache(http::exchange &exchange) {
@@ -265,7 +265,7 @@
       blocks.emplace_back(block);
     }
   }
-  accept(exchange, {{"blocks", std::move(blocks)}});
+  respond_ok(exchange, {{"blocks", std::move(blocks)}});
 }
 
 void engine::import_cache(http::exchange &exchange) {
@@ -277,7 +277,7 @@
   const json::value *list =
       body.is_object() ? body.as_object().if_contains("blocks") : nullptr;
   if (list == nullptr || !list->is_array()) {
-    refuse(exchange, 400, "expected an object with blocks");
+    respond_error(exchange, 400, "expected an object with blocks");
     return;
   }
   std::vector<std::uint64_t> blocks;
@@ -288,7 +288,7 @@
     const std::scoped_lock lock(mutex_);
     cache_.import(exchange.incoming().header("X-Program"), blocks);
   }
-  accept(exchange, {{"imported", blocks.size()}});
+  respond_ok(exchange, {{"imported", blocks.size()}});
 }
 
 void engine::start_drain(http::exchange &exchange) {
@@ -296,11 +296,12 @@
     const std::scoped_lock lock(mutex_);
     draining_ = true;
   }
-  accept(exchange, {{"draining", true}});
+  respond_ok(exchange, {{"draining", true}});
 }
 
 bool engine::check_epoch(http::exchange &exchange) {
-  const std::uint64_t epoch = number_of(exchange.incoming().header("X-Epoch"));
+  const std::uint64_t epoch =
+      parse_number(exchange.incoming().header("X-Epoch"));
   bool stale = false;
   {
     const std::scoped_lock lock(mutex_);
@@ -308,7 +309,7 @@
     epoch_ = std::max(epoch_, epoch);
   }
   if (stale) {
-    refuse(exchange, 409, "an order of a later epoch has been seen");
+    respond_error(exchange, 409, "an order of a later epoch has been seen");
   }
   return !stale;
 }
--- a/src/stand_ins/fault_proxy/fault_proxy.cpp
+++ b/src/stand_ins/fault_proxy/fault_proxy.cpp
@@ -204,7 +204,7 @@
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-bool fault_proxy::carry_out(std::string_view target) {
+bool fault_proxy::apply_command(std::string_view target) {
   const std::size_t slash = target.rfind('/');
   const bool has_both =
       target.starts_with('/') && slash != 0 && slash != std::string_view::npos;
--- a/src/stand_ins/fault_proxy/fault_proxy.hpp
+++ b/src/stand_ins/fault_proxy/fault_proxy.hpp
@@ -82,7 +82,7 @@
   /// Executes the control request `/LINK/FAULT`. The fault `reset` resets the
   /// link's open connections. The link `all` selects every link.
   /// @return false, without any effect, when the link or fault is unknown.
-  bool carry_out(std::string_view target);
+  bool apply_command(std::string_view target);
 
 private:
   asio::io_context &io_;
--- a/src/stand_ins/fault_proxy/main.cpp
+++ b/src/stand_ins/fault_proxy/main.cpp
@@ -55,7 +55,7 @@
   constexpr std::uint32_t not_found = 404;
   const auto served =
       http::serve_pages(io, control, [&proxy](std::string_view target) {
-        return proxy.carry_out(target)
+        return proxy.apply_command(target)
                    ? http::page{.body = "done\n"}
                    : http::page{.status = not_found,
                                 .body = "no such link or fault\n"};
--- a/src/stand_ins/platform/platform.cpp
+++ b/src/stand_ins/platform/platform.cpp
@@ -46,7 +46,7 @@
   const auto part = [&path](std::size_t index) {
     return index < path.size() ? path[index] : std::string();
   };
-  // The experimenter's own controls and the tools do not fail with the store.
+  // Injected faults apply to the object store only, not to controls and tools.
   if (post && request.path == "/v1/faults") {
     set_fault(exchange);
   } else if (part(1) == "tools" && part(3) == "mode") {
@@ -66,7 +66,7 @@
   } else if (part(1) == "weights") {
     read_weights(exchange, part(2));
   } else {
-    refuse(exchange, 404, "no such path");
+    respond_error(exchange, 404, "no such path");
   }
 }
 
@@ -77,7 +77,7 @@
   } else if (method == "PUT" || method == "DELETE") {
     write_object(exchange, key);
   } else {
-    refuse(exchange, 405, "GET, PUT or DELETE");
+    respond_error(exchange, 405, "GET, PUT or DELETE");
   }
 }
 
@@ -94,15 +94,15 @@
     }
   }
   if (body.empty()) {
-    refuse(exchange, 404, "no such object");
+    respond_error(exchange, 404, "no such object");
     return;
   }
-  accept(exchange, body);
+  respond_ok(exchange, body);
 }
 
 void platform::write_object(http::exchange &exchange, const object_key &key) {
   const http::request &request = exchange.incoming();
-  const std::uint64_t expected = number_of(request.header("If-Match"));
+  const std::uint64_t expected = parse_number(request.header("If-Match"));
   std::uint64_t found_version = 0;
   std::uint64_t new_version = 0;
   bool lose_answer = false;
@@ -120,7 +120,7 @@
     lose_answer = fault_ == fault::lose_answers;
   }
   if (lose_answer) {
-    refuse(exchange, 500, "the answer was lost");
+    respond_error(exchange, 500, "the answer was lost");
     return;
   }
   if (new_version == 0) {
@@ -128,22 +128,22 @@
         409, json::serialize(json::object{{"version", found_version}})));
     return;
   }
-  accept(exchange, {{"version", new_version}});
+  respond_ok(exchange, {{"version", new_version}});
 }
 
 void platform::watch(http::exchange &exchange) {
   const http::request &request = exchange.incoming();
-  const std::uint64_t after = number_of(query_of(request, "after"));
+  const std::uint64_t after = parse_number(query_of(request, "after"));
   const auto deadline =
       steady::now() +
-      std::chrono::milliseconds(number_of(query_of(request, "wait_ms")));
+      std::chrono::milliseconds(parse_number(query_of(request, "wait_ms")));
   json::array changed;
   std::uint64_t revision = 0;
   {
     std::unique_lock lock(mutex_);
     if (watchers_ >= settings_.watcher_limit) {
       lock.unlock();
-      refuse(exchange, 429, "too many watches");
+      respond_error(exchange, 429, "too many watches");
       return;
     }
     ++watchers_;
@@ -165,7 +165,8 @@
   if (!apply_fault(exchange)) {
     return;
   }
-  accept(exchange, {{"revision", revision}, {"objects", std::move(changed)}});
+  respond_ok(exchange,
+             {{"revision", revision}, {"objects", std::move(changed)}});
 }
 
 void platform::set_fault(http::exchange &exchange) {
@@ -176,10 +177,10 @@
              : mode == "slow"         ? fault::slow
              : mode == "lose_answers" ? fault::lose_answers
                                       : fault::none;
-    slow_ms_ = number_of(query_of(exchange.incoming(), "delay_ms"));
+    slow_ms_ = parse_number(query_of(exchange.incoming(), "delay_ms"));
     changed_.notify_all();
   }
-  accept(exchange, {{"mode", mode}});
+  respond_ok(exchange, {{"mode", mode}});
 }
 
 void platform::set_machine(http::exchange &exchange, const std::string &name) {
@@ -191,7 +192,7 @@
     put({"machine", name},
         {.version = 0, .change_id = {}, .document = document});
   });
-  accept(exchange, {{"machine", name}});
+  respond_ok(exchange, {{"machine", name}});
 }
 
 void platform::invoke_tool(http::exchange &exchange, const std::string &tool) {
@@ -237,7 +238,7 @@
     }
   }
   if (answer.empty()) {
-    refuse(exchange, 404, "no such invocation");
+    respond_error(exchange, 404, "no such invocation");
     return;
   }
   exchange.respond(http::json_response(200, answer));
@@ -250,7 +251,7 @@
     const std::scoped_lock lock(mutex_);
     tool_modes_[tool] = mode;
   }
-  accept(exchange, {{"tool", tool}, {"mode", mode}});
+  respond_ok(exchange, {{"tool", tool}, {"mode", mode}});
 }
 
 void platform::count_invocations(http::exchange &exchange,
@@ -262,7 +263,7 @@
       counts[key] = made.runs;
     }
   }
-  accept(exchange, counts);
+  respond_ok(exchange, counts);
 }
 
 void platform::read_weights(http::exchange &exchange,
@@ -283,7 +284,7 @@
     exchange.respond(std::move(answer));
     return;
   }
-  accept(exchange, {{"model", model}, {"weights", "stand-in"}});
+  respond_ok(exchange, {{"model", model}, {"weights", "stand-in"}});
 }
 
 bool platform::apply_fault(http::exchange &exchange) {
@@ -295,7 +296,7 @@
     delay_ms = slow_ms_;
   }
   if (present == fault::down) {
-    refuse(exchange, 503, "down");
+    respond_error(exchange, 503, "down");
     return false;
   }
   if (present == fault::slow) {
--- a/src/stand_ins/replies.cpp
+++ b/src/stand_ins/replies.cpp
@@ -8,19 +8,19 @@
 
 namespace json = boost::json;
 
-std::uint64_t number_of(const std::string &text) {
+std::uint64_t parse_number(const std::string &text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
 }
 
-void refuse(http::exchange &exchange, std::uint32_t status,
-            std::string_view why) {
+void respond_error(http::exchange &exchange, std::uint32_t status,
+                   std::string_view why) {
   exchange.respond(http::json_response(
       status, json::serialize(json::object{{"error", why}}) + "\n"));
 }
 
-void accept(http::exchange &exchange, const json::object &body) {
+void respond_ok(http::exchange &exchange, const json::object &body) {
   exchange.respond(http::json_response(200, json::serialize(body) + "\n"));
 }
 
--- a/src/stand_ins/replies.hpp
+++ b/src/stand_ins/replies.hpp
@@ -12,13 +12,13 @@
 namespace heathtrestle::stand_ins {
 
 /// Parses the digits at the start of the text; 0 when there are none.
-std::uint64_t number_of(const std::string &text);
+std::uint64_t parse_number(const std::string &text);
 
 /// Responds with the status and a JSON object with `why` as its `error`.
-void refuse(http::exchange &exchange, std::uint32_t status,
-            std::string_view why);
+void respond_error(http::exchange &exchange, std::uint32_t status,
+                   std::string_view why);
 
 /// Responds with status 200 and the JSON object.
-void accept(http::exchange &exchange, const boost::json::object &body);
+void respond_ok(http::exchange &exchange, const boost::json::object &body);
 
 } // namespace heathtrestle::stand_ins
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -24,7 +24,7 @@
   CPPUNIT_TEST(a_stream_arrives_part_by_part);
   CPPUNIT_TEST(malformed_http_is_refused);
   CPPUNIT_TEST(an_oversized_body_is_refused);
-  CPPUNIT_TEST(a_refused_connection_was_surely_not_run);
+  CPPUNIT_TEST(a_refused_connection_is_reported_as_not_run);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT(answer.value().body.find("too_large") != std::string::npos);
   }
 
-  void a_refused_connection_was_surely_not_run() {
+  void a_refused_connection_is_reported_as_not_run() {
     const std::string address = server_->address();
     server_->stop_accepting();
     // Closing is asynchronous: requests may succeed until the listener has
--- a/tests/stand_ins/fault_proxy_test.cpp
+++ b/tests/stand_ins/fault_proxy_test.cpp
@@ -75,12 +75,12 @@
   }
 
   void unknown_links_and_faults_are_refused() {
-    CPPUNIT_ASSERT(proxy_.carry_out("/store/silent"));
-    CPPUNIT_ASSERT(proxy_.carry_out("/all/sound"));
-    CPPUNIT_ASSERT(!proxy_.carry_out("/store/slow"));
-    CPPUNIT_ASSERT(!proxy_.carry_out("/other/silent"));
-    CPPUNIT_ASSERT(!proxy_.carry_out("silent"));
-    CPPUNIT_ASSERT(!proxy_.carry_out("/silent"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/store/silent"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/all/sound"));
+    CPPUNIT_ASSERT(!proxy_.apply_command("/store/slow"));
+    CPPUNIT_ASSERT(!proxy_.apply_command("/other/silent"));
+    CPPUNIT_ASSERT(!proxy_.apply_command("silent"));
+    CPPUNIT_ASSERT(!proxy_.apply_command("/silent"));
   }
 
   void a_sound_link_passes_bytes_both_ways() {
@@ -93,17 +93,17 @@
 
   void a_held_link_delivers_when_it_is_sound_again() {
     connect();
-    CPPUNIT_ASSERT(proxy_.carry_out("/store/silent"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/store/silent"));
     asio::write(client_, asio::buffer("ask", 3));
     settle();
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, waiting(served_));
-    CPPUNIT_ASSERT(proxy_.carry_out("/store/sound"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/store/sound"));
     CPPUNIT_ASSERT(run_until([this] { return waiting(served_) == 3; }));
   }
 
   void one_direction_is_held_alone() {
     connect();
-    CPPUNIT_ASSERT(proxy_.carry_out("/store/hold-answers"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/store/hold-answers"));
     asio::write(client_, asio::buffer("ask", 3));
     asio::write(served_, asio::buffer("answer", 6));
     CPPUNIT_ASSERT(run_until([this] { return waiting(served_) == 3; }));
@@ -118,12 +118,12 @@
     client_.async_read_some(asio::buffer(buf), [&ended](auto ec, std::size_t) {
       ended = static_cast<bool>(ec);
     });
-    CPPUNIT_ASSERT(proxy_.carry_out("/store/reset"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/store/reset"));
     CPPUNIT_ASSERT(run_until([&ended] { return ended; }));
   }
 
   void a_refusing_link_resets_new_connections() {
-    CPPUNIT_ASSERT(proxy_.carry_out("/store/refuse"));
+    CPPUNIT_ASSERT(proxy_.apply_command("/store/refuse"));
     client_.connect(proxy_at_);
     bool ended = false;
     std::array<char, 8> buf{};
