--- a/src/stand_ins/platform/platform.cpp
+++ b/src/stand_ins/platform/platform.cpp
@@ -46,7 +46,8 @@
   const auto part = [&path](std::size_t index) {
     return index < path.size() ? path[index] : std::string();
   };
-  // Injected faults apply to the object store only, not to controls and tools.
+  // The routes above `apply_fault`, controls and tools, never fail by
+  // injection.
   if (post && request.path == "/v1/faults") {
     set_fault(exchange);
   } else if (part(1) == "tools" && part(3) == "mode") {
