--- a/src/stand_ins/fault_proxy/main.cpp
+++ b/src/stand_ins/fault_proxy/main.cpp
@@ -1,5 +1,5 @@
-// heathtrestle-fault-proxy: links on loopback whose faults are set from
-// outside, for the fault soak.
+// heathtrestle-fault-proxy: TCP links on loopback with faults that are set over
+// HTTP, for the fault soak.
 #include "stand_ins/fault_proxy/fault_proxy.hpp"
 
 #include "config/settings_schema.hpp"
@@ -55,7 +55,7 @@
   constexpr std::uint32_t not_found = 404;
   const auto served =
       http::serve_pages(io, control, [&proxy](std::string_view target) {
-        return proxy.carry_out(target)
+        return proxy.apply_command(target)
                    ? http::page{.body = "done\n"}
                    : http::page{.status = not_found,
                                 .body = "no such link or fault\n"};
--- a/src/stand_ins/platform/platform.cpp
+++ b/src/stand_ins/platform/platform.cpp
@@ -46,7 +46,8 @@
   const auto part = [&path](std::size_t index) {
     return index < path.size() ? path[index] : std::string();
   };
-  // The experimenter's own controls and the tools do not fail with the store.
+  // The routes above `apply_fault`, controls and tools, never fail by
+  // injection.
   if (post && request.path == "/v1/faults") {
     set_fault(exchange);
   } else if (part(1) == "tools" && part(3) == "mode") {
@@ -54,8 +55,8 @@
   } else if (part(1) == "tools" && part(3) == "counts") {
     count_invocations(exchange, part(2));
   } else if (part(1) == "tools" && part(3) == "invocations") {
-    post ? invoke_tool(exchange, part(2)) : ask_tool(exchange, part(2));
-  } else if (!pass_fault(exchange)) {
+    post ? invoke_tool(exchange, part(2)) : query_invocation(exchange, part(2));
+  } else if (!apply_fault(exchange)) {
     return;
   } else if (part(1) == "objects" && path.size() == 4) {
     handle_object(exchange, {part(2), part(3)});
@@ -66,7 +67,7 @@
   } else if (part(1) == "weights") {
     read_weights(exchange, part(2));
   } else {
-    refuse(exchange, 404, "no such path");
+    respond_error(exchange, 404, "no such path");
   }
 }
 
@@ -77,7 +78,7 @@
   } else if (method == "PUT" || method == "DELETE") {
     write_object(exchange, key);
   } else {
-    refuse(exchange, 405, "GET, PUT or DELETE");
+    respond_error(exchange, 405, "GET, PUT or DELETE");
   }
 }
 
@@ -94,15 +95,15 @@
     }
   }
   if (body.empty()) {
-    refuse(exchange, 404, "no such object");
+    respond_error(exchange, 404, "no such object");
     return;
   }
-  accept(exchange, body);
+  respond_ok(exchange, body);
 }
 
 void platform::write_object(http::exchange &exchange, const object_key &key) {
   const http::request &request = exchange.incoming();
-  const std::uint64_t expected = number_of(request.header("If-Match"));
+  const std::uint64_t expected = parse_number(request.header("If-Match"));
   std::uint64_t found_version = 0;
   std::uint64_t new_version = 0;
   bool lose_answer = false;
@@ -120,7 +121,7 @@
     lose_answer = fault_ == fault::lose_answers;
   }
   if (lose_answer) {
-    refuse(exchange, 500, "the answer was lost");
+    respond_error(exchange, 500, "the answer was lost");
     return;
   }
   if (new_version == 0) {
@@ -128,22 +129,22 @@
         409, json::serialize(json::object{{"version", found_version}})));
     return;
   }
-  accept(exchange, {{"version", new_version}});
+  respond_ok(exchange, {{"version", new_version}});
 }
 
 void platform::watch(http::exchange &exchange) {
   const http::request &request = exchange.incoming();
-  const std::uint64_t after = number_of(query_of(request, "after"));
+  const std::uint64_t after = parse_number(query_of(request, "after"));
   const auto deadline =
       steady::now() +
-      std::chrono::milliseconds(number_of(query_of(request, "wait_ms")));
+      std::chrono::milliseconds(parse_number(query_of(request, "wait_ms")));
   json::array changed;
   std::uint64_t revision = 0;
   {
     std::unique_lock lock(mutex_);
     if (watchers_ >= settings_.watcher_limit) {
       lock.unlock();
-      refuse(exchange, 429, "too many watches");
+      respond_error(exchange, 429, "too many watches");
       return;
     }
     ++watchers_;
@@ -162,10 +163,11 @@
       }
     }
   }
-  if (!pass_fault(exchange)) {
+  if (!apply_fault(exchange)) {
     return;
   }
-  accept(exchange, {{"revision", revision}, {"objects", std::move(changed)}});
+  respond_ok(exchange,
+             {{"revision", revision}, {"objects", std::move(changed)}});
 }
 
 void platform::set_fault(http::exchange &exchange) {
@@ -176,10 +178,10 @@
              : mode == "slow"         ? fault::slow
              : mode == "lose_answers" ? fault::lose_answers
                                       : fault::none;
-    slow_ms_ = number_of(query_of(exchange.incoming(), "delay_ms"));
+    slow_ms_ = parse_number(query_of(exchange.incoming(), "delay_ms"));
     changed_.notify_all();
   }
-  accept(exchange, {{"mode", mode}});
+  respond_ok(exchange, {{"mode", mode}});
 }
 
 void platform::set_machine(http::exchange &exchange, const std::string &name) {
@@ -191,7 +193,7 @@
     put({"machine", name},
         {.version = 0, .change_id = {}, .document = document});
   });
-  accept(exchange, {{"machine", name}});
+  respond_ok(exchange, {{"machine", name}});
 }
 
 void platform::invoke_tool(http::exchange &exchange, const std::string &tool) {
@@ -202,8 +204,8 @@
     const std::scoped_lock lock(mutex_);
     hangs = tool_modes_[tool] == "hang";
     if (!hangs) {
-      // Deliberately not deduplicated: each run counts, so that a second run
-      // of an unrepeatable call is seen.
+      // Not deduplicated by the idempotency key, so that tests detect a second
+      // run of a call that must not be repeated.
       boost::system::error_code failure;
       const json::value echo = json::parse(request.body, failure);
       invocation &made = invocations_[tool][key];
@@ -225,7 +227,8 @@
   exchange.respond(http::json_response(200, answer));
 }
 
-void platform::ask_tool(http::exchange &exchange, const std::string &tool) {
+void platform::query_invocation(http::exchange &exchange,
+                                const std::string &tool) {
   std::string answer;
   {
     const std::scoped_lock lock(mutex_);
@@ -236,7 +239,7 @@
     }
   }
   if (answer.empty()) {
-    refuse(exchange, 404, "no such invocation");
+    respond_error(exchange, 404, "no such invocation");
     return;
   }
   exchange.respond(http::json_response(200, answer));
@@ -249,7 +252,7 @@
     const std::scoped_lock lock(mutex_);
     tool_modes_[tool] = mode;
   }
-  accept(exchange, {{"tool", tool}, {"mode", mode}});
+  respond_ok(exchange, {{"tool", tool}, {"mode", mode}});
 }
 
 void platform::count_invocations(http::exchange &exchange,
@@ -261,7 +264,7 @@
       counts[key] = made.runs;
     }
   }
-  accept(exchange, counts);
+  respond_ok(exchange, counts);
 }
 
 void platform::read_weights(http::exchange &exchange,
@@ -282,10 +285,10 @@
     exchange.respond(std::move(answer));
     return;
   }
-  accept(exchange, {{"model", model}, {"weights", "stand-in"}});
+  respond_ok(exchange, {{"model", model}, {"weights", "stand-in"}});
 }
 
-bool platform::pass_fault(http::exchange &exchange) {
+bool platform::apply_fault(http::exchange &exchange) {
   fault present = fault::none;
   std::uint64_t delay_ms = 0;
   {
@@ -294,7 +297,7 @@
     delay_ms = slow_ms_;
   }
   if (present == fault::down) {
-    refuse(exchange, 503, "down");
+    respond_error(exchange, 503, "down");
     return false;
   }
   if (present == fault::slow) {
