--- a/src/sim/bench_main.cpp
+++ b/src/sim/bench_main.cpp
@@ -1,5 +1,5 @@
 // heathtrestle-bench: compares placement and scheduling policies in virtual
-// time. One JSON line a run, then a table.
+// time. Writes one JSON line per run and prints a summary of each policy.
 #include "bench/statistics.hpp"
 #include "config/settings_schema.hpp"
 #include "sim/policy_run.hpp"
@@ -51,7 +51,7 @@
   return boost::json::serialize(line) + "\n";
 }
 
-/// Mean and spread of one number over the seeds.
+/// Formats the mean, least and greatest of one measure over the seeds.
 template <typename Read>
 std::string spread(const std::vector<sim::policy_run_result> &results,
                    Read read, int digits) {
--- a/src/sim/caller.cpp
+++ b/src/sim/caller.cpp
@@ -54,16 +54,17 @@
   command.set_name(plan_.name);
   command.set_budget(4000000);
   command.set_turn_limit(400);
-  ask_about_program(request, [self = shared_from_this()](
-                                 const wire::ClientReply &reply) {
-    if (reply.has_program()) {
-      self->created_ = true;
-      self->next_stage();
-    } else {
-      self->world_.seen().complaints.push_back(fmt::format(
-          "{} was refused: {}", self->id_, reply.failure().ShortDebugString()));
-    }
-  });
+  send_program_request(
+      request, [self = shared_from_this()](const wire::ClientReply &reply) {
+        if (reply.has_program()) {
+          self->created_ = true;
+          self->next_stage();
+        } else {
+          self->world_.seen().complaints.push_back(
+              fmt::format("creation of {} was refused: {}", self->id_,
+                          reply.failure().ShortDebugString()));
+        }
+      });
 }
 
 void caller::next_stage() {
@@ -156,16 +157,16 @@
       }
     });
   };
-  const std::string connection = world_.ask(
+  const std::string connection = world_.send_request(
       node, std::move(request), 0,
       [self, call](const wire::ClientReply &reply) {
         self->on_reply(call, reply);
       },
       again);
   call->connection = connection;
-  world_.clock().after(options_.patience, [self, call, connection, again] {
+  world_.clock().after(options_.reply_timeout, [self, call, connection, again] {
     if (!call->answered && call->connection == connection) {
-      self->world_.hang_up(connection);
+      self->world_.close_connection(connection);
       again();
     }
   });
@@ -183,7 +184,7 @@
   }
   if (reply.has_program()) {
     world_.seen().complaints.push_back(
-        fmt::format("{} {} got another request's answer", id_, call->key));
+        fmt::format("{} {} got the answer of another request", id_, call->key));
     call->answered = true;
     return;
   }
@@ -194,7 +195,7 @@
 void caller::on_completed(const call_pointer &call,
                           const wire::CallRecord &record) {
   if (call->after != nullptr && !call->after->answered) {
-    call->early = record; // taken in once its predecessor's answer is here
+    call->early = record; // processed after the predecessor's answer
     return;
   }
   call->answered = true;
@@ -240,7 +241,7 @@
   const bool gives_up = call->plan.unrepeatable &&
                         failure.ran() == wire::RAN_UNKNOWN && failure.settled();
   if (gives_up) {
-    call->answered = true; // a person would look into it
+    call->answered = true; // the outcome stays unknown; no retry
     if (call->next != nullptr) {
       call->next->after.reset();
     }
@@ -282,7 +283,7 @@
   request.set_partition(partition());
   request.mutable_end_program()->set_program(id_);
   request.mutable_end_program()->set_reason("done");
-  ask_about_program(
+  send_program_request(
       request, [self = shared_from_this()](const wire::ClientReply &) {
         self->ended_ = true;
         ++self->world_.seen().programs_finished;
@@ -290,47 +291,50 @@
       });
 }
 
-void caller::ask_about_program(const wire::ClientRequest &request,
-                               reply_action done) {
-  auto asked = std::make_shared<open_question>();
-  asked->request = request;
-  asked->done = std::move(done);
-  ask_again(asked);
+void caller::send_program_request(const wire::ClientRequest &request,
+                                  reply_action done) {
+  auto pending = std::make_shared<pending_request>();
+  pending->request = request;
+  pending->done = std::move(done);
+  send_attempt(pending);
 }
 
-void caller::ask_again(const std::shared_ptr<open_question> &asked) {
+void caller::send_attempt(const std::shared_ptr<pending_request> &pending) {
   const auto self = shared_from_this();
-  const std::uint32_t round = ++asked->round;
-  // Whatever ends a round first starts the next one; the rest finds it over.
-  const auto next_round = [self, asked, round] {
-    if (asked->round == round && !asked->answered) {
-      ++asked->round;
-      self->world_.clock().after(self->options_.retry_pause,
-                                 [self, asked] { self->ask_again(asked); });
+  const std::uint32_t attempt = ++pending->attempt;
+  // The first of reply, broken connection and timeout that ends an attempt
+  // starts the next one; the others then see a higher number and do nothing.
+  const auto next_attempt = [self, pending, attempt] {
+    if (pending->attempt == attempt && !pending->answered) {
+      ++pending->attempt;
+      self->world_.clock().after(self->options_.retry_pause, [self, pending] {
+        self->send_attempt(pending);
+      });
     }
   };
-  const std::string connection = world_.ask(
-      pick_node(), asked->request, 0,
-      [asked, next_round](const wire::ClientReply &reply) {
-        const bool come_back =
+  const std::string connection = world_.send_request(
+      pick_node(), pending->request, 0,
+      [pending, next_attempt](const wire::ClientReply &reply) {
+        const bool must_retry =
             reply.has_failure() && reply.failure().retry_after_ms() > 0;
-        if (come_back) {
-          next_round();
-        } else if (!asked->answered) {
-          asked->answered = true;
-          asked->done(reply);
+        if (must_retry) {
+          next_attempt();
+        } else if (!pending->answered) {
+          pending->answered = true;
+          pending->done(reply);
         }
       },
-      next_round);
-  world_.clock().after(options_.patience, [self, connection, next_round] {
-    self->world_.hang_up(connection);
-    next_round();
-  });
+      next_attempt);
+  world_.clock().after(options_.reply_timeout,
+                       [self, connection, next_attempt] {
+                         self->world_.close_connection(connection);
+                         next_attempt();
+                       });
 }
 
 std::size_t caller::pick_node() {
-  // Connections are refused by dead daemons and by those being stopped; a
-  // frozen one is not told from a slow one.
+  // Dead and draining daemons refuse connections; a frozen daemon accepts them,
+  // as it can't be distinguished from a slow one.
   const std::size_t first = world_.random()() % world_.node_count();
   for (std::size_t step = 0; step < world_.node_count(); ++step) {
     const std::size_t node = (first + step) % world_.node_count();
--- a/src/sim/caller.hpp
+++ b/src/sim/caller.hpp
@@ -1,4 +1,5 @@
-// A caller that plays one program against hollow daemons in virtual time.
+// Simulated client that runs one program against simulated daemons in virtual
+// time, retries failed requests and records every answer.
 #pragma once
 
 #include "bench/workload.hpp"
@@ -13,11 +14,12 @@
 namespace heathtrestle::sim {
 
 struct caller_options {
-  /// A connection without an answer is dropped after this; the caller comes
-  /// back by another daemon with the same key.
-  microseconds patience = 8 * per_second;
+  /// A connection without a reply is closed after this time; the caller then
+  /// retries with the same key at a daemon picked at random.
+  microseconds reply_timeout = 8 * per_second;
   microseconds retry_pause = 300 * per_millisecond;
-  /// Chance that two calls of one agent are made without waiting between.
+  /// Probability that two consecutive calls of an agent are sent without
+  /// waiting for the first answer.
   double pipelining = 0.0;
 };
 
@@ -33,8 +35,9 @@
   [[nodiscard]] const bench::program_plan &plan() const { return plan_; }
   [[nodiscard]] bool created() const { return created_; }
   [[nodiscard]] double latency_ms() const { return latency_ms_; }
+  /// Sum of the pauses that the program itself makes.
   [[nodiscard]] double no_wait_ms() const { return no_wait_ms_; }
-  /// The conversation of each agent as this caller had it.
+  /// The expected conversation of each agent, from the completed calls.
   [[nodiscard]] const std::map<std::string, std::vector<std::string>> &
   conversations() const {
     return conversations_;
@@ -42,25 +45,25 @@
 
 private:
   struct open_call {
-    std::shared_ptr<open_call> after; // made before this one, not waited for
+    std::shared_ptr<open_call> after; // predecessor sent just before
     bench::call_plan plan;
     std::string key;
     std::string base_key;
-    std::uint32_t renamed = 0;
+    std::uint32_t renamed = 0;       // number of new keys used
     std::vector<std::string> prompt; // known once earlier calls are answered
     bool append = false;
     bool answered = false;
-    /// An answer that came before that of the call made earlier.
+    /// An answer that arrived before the predecessor's.
     std::optional<wire::CallRecord> early;
     std::shared_ptr<open_call> next;
     std::string connection;
   };
   using reply_action = std::function<void(const wire::ClientReply &)>;
-  /// A request about the program itself, asked in rounds.
-  struct open_question {
+  /// A request to create or end the program, sent in attempts.
+  struct pending_request {
     wire::ClientRequest request;
     reply_action done;
-    std::uint32_t round = 0;
+    std::uint32_t attempt = 0;
     bool answered = false;
   };
   using call_pointer = std::shared_ptr<open_call>;
@@ -74,9 +77,11 @@
   void on_refused(const call_pointer &call, const wire::Failure &failure);
   void call_done();
   void end();
-  /// Sends a request about the program itself until it is answered.
-  void ask_about_program(const wire::ClientRequest &request, reply_action done);
-  void ask_again(const std::shared_ptr<open_question> &asked);
+  /// Sends a request to create or end the program, and retries until it is
+  /// answered.
+  void send_program_request(const wire::ClientRequest &request,
+                            reply_action done);
+  void send_attempt(const std::shared_ptr<pending_request> &pending);
   std::size_t pick_node();
   [[nodiscard]] std::uint32_t partition() const;
   [[nodiscard]] microseconds elapsed() const;
--- a/src/sim/capacity_main.cpp
+++ b/src/sim/capacity_main.cpp
@@ -1,5 +1,5 @@
-// heathtrestle-capacity: measures what a daemon costs, by hollow daemons that
-// share this process. docs/CAPACITY.md says which row comes from which run.
+// heathtrestle-capacity: measures the processor time, memory and traffic of a
+// daemon on a simulated cluster. docs/CAPACITY.md lists the runs and results.
 #include "bench/statistics.hpp"
 #include "config/settings_schema.hpp"
 #include "dispatch/scheduling_policy.hpp"
@@ -56,8 +56,8 @@
   return settings;
 }
 
-/// Lets a cluster form.
-/// @return false when it did not.
+/// Runs the cluster until every daemon is ready.
+/// @return false when that takes more than 600 s of virtual time.
 bool form(sim::world &cluster) {
   constexpr sim::microseconds longest = 600 * sim::per_second;
   while (cluster.clock().now() < longest) {
@@ -67,7 +67,7 @@
       all = all && cluster.alive(node) && cluster.node(node).ready();
     }
     if (all) {
-      // What the forming itself set off comes to rest.
+      // Wait until the work caused by the formation is done.
       cluster.clock().run_until(cluster.clock().now() + 20 * sim::per_second);
       return true;
     }
--- a/src/sim/checker.cpp
+++ b/src/sim/checker.cpp
@@ -15,7 +15,8 @@
     "whole_answer", "not_run",       "at_most_once", "leaving_backend",
     "planned_stop", "configuration", "liveness"};
 
-/// "a few seconds" and "within seconds" of the brief.
+/// Time after which a draining back end may get no new generations, and a
+/// configuration change must be in force on every node.
 constexpr microseconds drain_limit = 3 * per_second;
 constexpr microseconds spread_limit = 5 * per_second;
 
@@ -25,9 +26,10 @@
   return engine_request.substr(0, engine_request.rfind('/'));
 }
 
-/// The latest committed record of a program over all running replicas.
-const wire::ProgramRecord *record_of(world &cluster,
-                                     const std::string &program) {
+/// Returns the record of a program from the running replica with the highest
+/// commit index, or null.
+const wire::ProgramRecord *find_committed_record(world &cluster,
+                                                 const std::string &program) {
   const partition_id partition =
       partition_of(program, cluster.options().node.partition_count);
   const wire::ProgramRecord *best = nullptr;
@@ -50,8 +52,8 @@
 }
 
 void check_order(world &cluster, violations &found) {
-  // Within an agent a call starts only after the one before it is final, so
-  // of two calls the earlier one's starts all come first.
+  // A call starts only after the preceding call of its agent is final, so every
+  // start of the earlier call precedes the first start of the later one.
   std::map<std::string, microseconds> first_start;
   std::map<std::string, microseconds> last_start;
   for (const engine_start &start : cluster.seen().engine_starts) {
@@ -69,8 +71,11 @@
     const bool known =
         first_start.contains(call) && first_start.contains(before);
     if (known && first_start[call] <= last_start[before]) {
-      found.emplace_back(invariant::order,
-                         fmt::format("{} started before {}", call, before));
+      found.emplace_back(
+          invariant::order,
+          fmt::format(
+              "{} started no later than the last start of its predecessor {}",
+              call, before));
     }
     before = call;
   }
@@ -81,15 +86,17 @@
                     violations &found) {
   for (const auto &each : callers) {
     if (!each->ended()) {
-      found.emplace_back(invariant::liveness,
-                         each->program() + " did not come to its end");
+      found.emplace_back(invariant::liveness, each->program() + " did not end");
     }
     if (!each->created()) {
       continue;
     }
-    const wire::ProgramRecord *record = record_of(cluster, each->program());
+    const wire::ProgramRecord *record =
+        find_committed_record(cluster, each->program());
     if (record == nullptr) {
-      found.emplace_back(invariant::history, each->program() + " is lost");
+      found.emplace_back(invariant::history,
+                         each->program() +
+                             " has no record on any running replica");
       continue;
     }
     std::map<std::string, std::vector<std::string>> recorded;
@@ -102,12 +109,15 @@
                   [](const auto &entry) { return entry.second.empty(); });
     if (recorded != conversations) {
       found.emplace_back(invariant::history,
-                         each->program() + " has another history");
+                         each->program() +
+                             ": recorded history differs from the caller's");
     }
     if (record->spent() + record->reserved() > record->budget()) {
-      found.emplace_back(invariant::budget, each->program() + " has overspent");
+      found.emplace_back(invariant::budget,
+                         each->program() +
+                             ": spent plus reserved exceeds the budget");
     }
-    constexpr std::uint64_t price = 2; // of every class, see configure
+    constexpr std::uint64_t price = 2; // of every class, see world::configure
     std::uint64_t used = 0;
     for (const wire::CallRecord &call : record->calls()) {
       const bool chat = call.request().kind() == wire::CALL_CHAT;
@@ -117,7 +127,7 @@
     }
     if (used > record->spent()) {
       found.emplace_back(invariant::budget,
-                         fmt::format("{} used {} and was charged {}",
+                         fmt::format("{} used {} but was charged only {}",
                                      each->program(), used, record->spent()));
     }
   }
@@ -130,11 +140,13 @@
     }
     for (const std::string &program :
          cluster.engine(index).cache().programs()) {
-      const wire::ProgramRecord *record = record_of(cluster, program);
+      const wire::ProgramRecord *record =
+          find_committed_record(cluster, program);
       if (record == nullptr || record->ended()) {
-        found.emplace_back(
-            invariant::memory,
-            fmt::format("engine-{} holds memory for {}", index, program));
+        found.emplace_back(invariant::memory,
+                           fmt::format("engine-{} holds memory for {}, which "
+                                       "has ended or has no record",
+                                       index, program));
       }
     }
   }
@@ -154,14 +166,14 @@
     const std::string call = answer.program + "/" + answer.key;
     if (answer.completed && answer.text != answer.expected) {
       found.emplace_back(invariant::whole_answer,
-                         fmt::format("{} got \"{}\", not \"{}\"", call,
-                                     answer.text, answer.expected));
+                         fmt::format("{} was answered \"{}\", expected \"{}\"",
+                                     call, answer.text, answer.expected));
     }
     const bool said_not_run =
         !answer.completed && answer.ran == wire::RAN_NOT_RUN;
     if (said_not_run && started.contains(call)) {
       found.emplace_back(invariant::not_run,
-                         fmt::format("{} was refused as not run ({}) and ran",
+                         fmt::format("{} was refused as not run ({}) but ran",
                                      call, answer.code));
     }
     const auto tool_runs = cluster.seen().tool_runs.find(call);
@@ -185,7 +197,7 @@
     if (late) {
       found.emplace_back(
           invariant::leaving_backend,
-          fmt::format("{} got {} {} ms after its drain was accepted",
+          fmt::format("{} started {} {} ms after its drain was accepted",
                       start.backend, start.engine_request,
                       (start.when - drained->second) / per_millisecond));
     }
@@ -204,12 +216,12 @@
       [which](const auto &entry) { return entry.first == which; });
 }
 
-void watcher::sample(world &cluster) {
+void configuration_monitor::sample(world &cluster) {
   const microseconds now = cluster.clock().now();
-  std::uint64_t due = 0; // newest revision that must be in force by now
+  std::uint64_t required_revision = 0; // newest revision that must be in force
   for (const auto &[revision, accepted] : cluster.seen().changes_accepted) {
     if (accepted + spread_limit <= now) {
-      due = std::max(due, revision);
+      required_revision = std::max(required_revision, revision);
     }
   }
   for (std::size_t index = 0; index < cluster.node_count(); ++index) {
@@ -227,22 +239,25 @@
       up_since_[index] = now;
     }
     if (revision < known_revision) {
-      complaints_.push_back(fmt::format("node-{} went from revision {} to {}",
-                                        index, known_revision, revision));
+      complaints_.push_back(
+          fmt::format("node-{} went back from revision {} to {}", index,
+                      known_revision, revision));
     }
     known_revision = revision;
-    const bool undisturbed = up_since_[index] + spread_limit <= now &&
-                             cluster.undisturbed_since() + spread_limit <= now;
-    if (undisturbed && revision < due) {
-      complaints_.push_back(fmt::format("node-{} has revision {}, {} is due",
-                                        index, revision, due));
+    const bool should_have_converged =
+        up_since_[index] + spread_limit <= now &&
+        cluster.last_fault_end() + spread_limit <= now;
+    if (should_have_converged && revision < required_revision) {
+      complaints_.push_back(
+          fmt::format("node-{} has revision {}, but {} must be in force", index,
+                      revision, required_revision));
     }
   }
 }
 
 verdict check(world &cluster,
               const std::vector<std::shared_ptr<caller>> &callers,
-              const watcher &watched) {
+              const configuration_monitor &monitor) {
   verdict result;
   check_order(cluster, result.violations);
   check_programs(cluster, callers, result.violations);
@@ -252,10 +267,10 @@
   if (cluster.seen().cut_by_planned_stop > 0) {
     result.violations.emplace_back(
         invariant::planned_stop,
-        fmt::format("{} requests were cut off",
+        fmt::format("{} requests were cut off by planned stops",
                     cluster.seen().cut_by_planned_stop));
   }
-  for (const std::string &complaint : watched.complaints()) {
+  for (const std::string &complaint : monitor.complaints()) {
     result.violations.emplace_back(invariant::configuration, complaint);
   }
   for (const std::string &complaint : cluster.seen().complaints) {
--- a/src/sim/checker.hpp
+++ b/src/sim/checker.hpp
@@ -1,4 +1,5 @@
-// Judges a finished simulation by the points that must always hold.
+// Checks the invariants of a simulated cluster: some during the run, the rest
+// on its recorded observations and final state.
 #pragma once
 
 #include "sim/caller.hpp"
@@ -21,7 +22,7 @@
   leaving_backend,
   planned_stop,
   configuration,
-  liveness, // every program came to its end
+  liveness, // every program ends
 };
 inline constexpr std::size_t invariant_count = 11;
 
@@ -33,10 +34,12 @@
   [[nodiscard]] bool violates(invariant which) const;
 };
 
-/// What the checker watches while the simulation runs.
-class watcher {
+/// Checks during the run that configuration revisions never go back and reach
+/// every node in time.
+class configuration_monitor {
 public:
-  /// Called now and then: follows the configuration on every node.
+  /// Reads the configuration revision of every reachable node; to be called at
+  /// regular intervals.
   void sample(world &cluster);
 
   [[nodiscard]] const std::vector<std::string> &complaints() const {
@@ -49,9 +52,10 @@
   std::vector<std::string> complaints_;
 };
 
-/// To be called when the run was given time to come to rest.
+/// Checks all invariants. Faults must be over and programs must have had time
+/// to end.
 verdict check(world &cluster,
               const std::vector<std::shared_ptr<caller>> &callers,
-              const watcher &watched);
+              const configuration_monitor &monitor);
 
 } // namespace heathtrestle::sim
--- a/src/sim/main.cpp
+++ b/src/sim/main.cpp
@@ -1,5 +1,5 @@
-// heathtrestle-sim: plays faults against a simulated cluster and judges what
-// came of it. The same seed gives the same run.
+// heathtrestle-sim: injects faults into a simulated cluster and checks its
+// invariants. Runs with the same seed are identical.
 #include "config/settings_schema.hpp"
 #include "sim/scenario.hpp"
 
--- a/src/sim/mutation.hpp
+++ b/src/sim/mutation.hpp
@@ -1,6 +1,6 @@
-// Mechanisms that can be switched off from outside, to see the checker fail
-// without them. Each changes events or effects at the boundary of the reducer;
-// the reducer itself has no such switches.
+// Faults injected into the mechanisms under test, to verify that the checker
+// detects each violation. A mutation changes events or effects at the boundary
+// of the reducer; the reducer itself has no such switches.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,33 @@
 
 enum class mutation : std::uint8_t {
   none,
-  /// A restarted process keeps its boot number and so its old votes' identity.
+  /// A restarted process keeps its boot number, and with it the identity under
+  /// which it voted before.
   same_identity_after_restart,
-  /// Every order may start work, also one that should only resume.
+  /// Every engine request and tool invocation may start work, including those
+  /// that may only resume it.
   always_start,
-  /// Orders to release engine memory are lost.
+  /// Releases of engine memory are acknowledged but not executed.
   no_release,
-  /// Daemons see the price of every class as 0 and so reserve nothing.
+  /// Daemons read a price of 0 for every class and so reserve nothing.
   no_reservation,
-  /// Daemons do not see that a back end drains.
+  /// Daemons read draining back ends as active.
   no_drain,
-  /// A planned stop ends the process at once.
+  /// A planned stop kills the process without draining it.
   stop_without_drain,
-  /// Replies go to whichever caller waits first.
+  /// A reply goes to the first open connection instead of that of its request.
   crossed_replies,
-  /// Refusals take the place of answers that come late.
+  /// Some outcomes of calls are replaced by "not run" refusals.
   early_not_run,
-  /// Relays pass on nothing, and peers do not tell their revision.
+  /// Configuration deltas between nodes are dropped, and messages report
+  /// configuration revision 0.
   no_relay,
-  /// Calls of one agent are all sent as agents of their own.
+  /// Each call is sent under an agent name of its own, so that calls of one
+  /// agent are not ordered.
   no_order,
 };
 
-/// @return nothing for a name that is no mutation's.
+/// @return nothing for an unknown name.
 std::optional<mutation> mutation_named(std::string_view name);
 std::string_view name_of(mutation which);
 
--- a/src/sim/observations.hpp
+++ b/src/sim/observations.hpp
@@ -1,5 +1,5 @@
-// What really happened in a simulation, as seen from outside the daemons: the
-// ground on which the checker judges.
+// Events of a simulation recorded outside the daemons: engine starts, tool
+// runs, answers and accepted changes. The checker verifies invariants on them.
 #pragma once
 
 #include "sim/virtual_clock.hpp"
@@ -14,14 +14,15 @@
 
 namespace heathtrestle::sim {
 
-/// A generation that an engine began.
+/// A generation started by an engine.
 struct engine_start {
   microseconds when = 0;
   std::string backend;
   std::string engine_request; // program/key/attempt
 };
 
-/// A final answer as a caller got it.
+/// A reply to a call as its caller received it: an answer, or a failure, which
+/// the caller may retry.
 struct final_answer {
   std::string program;
   std::string key;
@@ -29,22 +30,22 @@
   bool unrepeatable = false;
   bool tool = false;
   bool completed = false;
-  wire::RanStatus ran = wire::RAN_NOT_RUN; // of refusals and failures
+  wire::RanStatus ran = wire::RAN_NOT_RUN; // of failures
   std::string code;
   std::string text;
-  std::string expected; // of completed chats
+  std::string expected; // of completed calls
 };
 
 struct observations {
-  /// Everything that any engine ever had cached.
+  /// Every prefix that any engine has cached, without eviction.
   stand_ins::prefix_cache ever_cached{std::numeric_limits<std::size_t>::max()};
   std::vector<engine_start> engine_starts;
   std::map<std::string, std::uint32_t> tool_runs; // by program/key
   std::vector<final_answer> answers;
   std::map<std::string, microseconds> drains_accepted; // by back end
-  /// Accepted changes: the revision and when it was accepted.
+  /// Revision and time of each accepted configuration change.
   std::vector<std::pair<std::uint64_t, microseconds>> changes_accepted;
-  std::vector<std::string> complaints; // seen while running
+  std::vector<std::string> complaints; // unexpected replies to callers
   std::uint64_t cut_by_planned_stop = 0;
   std::uint64_t programs_finished = 0;
   std::uint64_t programs_started = 0;
--- a/src/sim/policy_run.cpp
+++ b/src/sim/policy_run.cpp
@@ -17,7 +17,7 @@
 
 using caller_list = std::vector<std::shared_ptr<caller>>;
 
-/// Block-seconds seen by sampling the engines' caches.
+/// Block-seconds estimated by sampling the engines' caches.
 struct cache_samples {
   double held = 0;
   double held_for_ended = 0;
@@ -69,8 +69,8 @@
           .median_slowdown = bench::quantile(slowdowns, 0.50)};
 }
 
-/// Mean latency of a tenant's programs over the pauses they make themselves,
-/// the worst tenant against the mean of all.
+/// Compares the median slowdown of the worst tenant with the median of all
+/// programs.
 double fairness_gap_of(const caller_list &callers) {
   std::map<std::string, std::vector<double>> slowdowns;
   std::vector<double> all;
@@ -138,12 +138,12 @@
   workload.programs = options.programs;
   workload.arrivals_per_second = options.arrivals_per_second;
   const auto plans = bench::make_workload(workload);
-  caller_options patient;
-  patient.patience = 600 * per_second;
+  caller_options caller_settings;
+  caller_settings.reply_timeout = 600 * per_second;
   caller_list callers;
   for (std::size_t number = 0; number < plans.size(); ++number) {
-    callers.push_back(
-        std::make_shared<caller>(cluster, plans[number], number, patient));
+    callers.push_back(std::make_shared<caller>(cluster, plans[number], number,
+                                               caller_settings));
     callers.back()->start();
   }
   cache_samples samples;
@@ -155,7 +155,8 @@
   cluster.clock().run_until(began + span);
 
   policy_run_result result;
-  // Taken when arrivals end, so that the emptying afterwards does not dilute.
+  // Measured when arrivals end, so that the falling load afterwards does not
+  // lower the utilisation.
   measure_engines(cluster, span, samples, result);
   cluster.clock().run_until(began + span + 300 * per_second);
   for (const bench::class_plan &each : owner.classes) {
--- a/src/sim/policy_run.hpp
+++ b/src/sim/policy_run.hpp
@@ -1,5 +1,6 @@
-// One measured run of a policy: a profile's workload in virtual time on the
-// real reducer and policies. docs/MEASURES.md defines what is measured.
+// Runs a profile's workload in virtual time with one placement and one
+// scheduling policy, and measures the result. docs/MEASURES.md defines the
+// measures.
 #pragma once
 
 #include "sim/world.hpp"
@@ -26,7 +27,7 @@
   double p50_ms = 0;
   double p95_ms = 0;
   double p99_ms = 0;
-  /// Median of latency over the pauses that the program itself makes.
+  /// Median ratio of a program's latency to the pauses it makes itself.
   double median_slowdown = 0;
 };
 
@@ -35,12 +36,12 @@
   std::size_t unfinished = 0;
   std::size_t refusals = 0;
   double utilisation = 0;       // of the engines' batch slots, from 0 to 1
-  double refilled_share = 0;    // prompt tokens prefilled again, of all
-  double cached_share = 0;      // prompt tokens found cached, of all
-  double ended_block_share = 0; // block-seconds held for ended programs, of all
-  double wasted_share = 0;      // the two kinds of waste together
-  /// Largest shortfall of a tenant against its weighted share of service while
-  /// all tenants had work, from 0 to 1.
+  double refilled_share = 0;    // of prompt tokens, prefilled again
+  double cached_share = 0;      // of prompt tokens, found cached
+  double ended_block_share = 0; // of block-seconds, held for ended programs
+  double wasted_share = 0;      // refilled_share + ended_block_share
+  /// Relative excess of the worst tenant's median slowdown over the median
+  /// slowdown of all programs; 0 when no tenant exceeds it.
   double fairness_gap = 0;
 };
 
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -29,8 +29,8 @@
     "configuration_race"};
 
 constexpr microseconds sample_interval = 250 * per_millisecond;
-/// Between two faults that each take replicas away, so that a majority of
-/// every partition lives on; what loses a majority loses its records.
+/// Least time between two faults that remove replicas. Replicas must recover in
+/// between, as a partition that loses its majority loses its records.
 constexpr microseconds recovery_time = 40 * per_second;
 
 bool takes_replicas(fault_kind kind) {
@@ -38,11 +38,11 @@
          kind == fault_kind::planned_stop;
 }
 
-/// Plays the faults of a scenario.
-class fault_player {
+/// Injects the faults of a scenario.
+class fault_injector {
 public:
-  fault_player(world &cluster, const scenario_options &options,
-               scenario_result &result)
+  fault_injector(world &cluster, const scenario_options &options,
+                 scenario_result &result)
       : world_(cluster), options_(options), result_(result),
         random_(options.world.seed * 7919 + 1) {}
 
@@ -67,16 +67,16 @@
         replicas_safe_from = when + recovery_time;
       }
       world_.clock().after(options_.warm_up + when,
-                           [this, kind = kind] { play(kind); });
+                           [this, kind = kind] { inject(kind); });
     }
   }
 
 private:
-  void play(fault_kind kind) {
+  void inject(fault_kind kind) {
     const std::size_t node = pick_node();
     const microseconds duration = per_second + random_() % (9 * per_second);
-    note(kind, node, duration);
-    world_.disturb(duration + per_second);
+    record_fault(kind, node, duration);
+    world_.extend_fault_period(duration + per_second);
     switch (kind) {
     case fault_kind::kill:
       world_.kill(node);
@@ -124,7 +124,7 @@
       drain_backend();
       return;
     case fault_kind::configuration_race:
-      race();
+      write_concurrently();
       return;
     }
   }
@@ -139,15 +139,15 @@
   }
 
   void set_platform(sim_platform::fault fault, microseconds duration) {
-    world_.platform().present_fault = fault;
+    world_.platform().current_fault = fault;
     world_.clock().after(duration, [this] {
-      world_.platform().present_fault = sim_platform::fault::none;
+      world_.platform().current_fault = sim_platform::fault::none;
     });
   }
 
   void drain_backend() {
     if (drained_ + 1 >= world_.engine_count()) {
-      return; // one stays
+      return; // keep one back end active
     }
     const std::size_t engine = drained_++;
     world_.write_object(
@@ -158,7 +158,7 @@
                     engine, world_.options().engine.batch));
   }
 
-  void race() {
+  void write_concurrently() {
     constexpr std::uint32_t writes = 5;
     for (std::uint32_t write = 0; write < writes; ++write) {
       world_.clock().after(random_() % per_second, [this] {
@@ -171,7 +171,7 @@
 
   std::size_t pick_node() { return random_() % world_.node_count(); }
 
-  void note(fault_kind kind, std::size_t node, microseconds duration) {
+  void record_fault(fault_kind kind, std::size_t node, microseconds duration) {
     result_.faults.push_back(fmt::format(
         "{:6.2f} s {} node-{} for {:.2f} s",
         static_cast<double>(world_.clock().now()) / per_second, name_of(kind),
@@ -185,14 +185,14 @@
   std::size_t drained_ = 0;
 };
 
-void sample_regularly(world &cluster, watcher &watched) {
-  cluster.clock().after(sample_interval, [&cluster, &watched] {
-    watched.sample(cluster);
-    sample_regularly(cluster, watched);
+void sample_regularly(world &cluster, configuration_monitor &monitor) {
+  cluster.clock().after(sample_interval, [&cluster, &monitor] {
+    monitor.sample(cluster);
+    sample_regularly(cluster, monitor);
   });
 }
 
-/// What every replica holds of a program.
+/// Describes each node's view of a program's partition and its record.
 std::vector<std::string> describe_program(world &cluster,
                                           const std::string &program) {
   std::vector<std::string> lines;
@@ -269,7 +269,7 @@
 
 scenario_result run_scenario(const scenario_options &options) {
   scenario_result result;
-  watcher watched;
+  configuration_monitor monitor;
   world_options world_settings = options.world;
   std::ofstream trace;
   std::uint64_t recorded_boot = 0;
@@ -285,14 +285,14 @@
       const bool another_process =
           recorded_boot != 0 && recorded_boot != self.boot();
       if (another_process) {
-        return; // a trace is of one process
+        return; // a trace covers one process
       }
       const auto write = [&trace](const wire::TraceRecord &record) {
         google::protobuf::util::SerializeDelimitedToOstream(record, &trace);
       };
       if (recorded_boot == 0) {
         recorded_boot = self.boot();
-        write(replay::header_record(observed->started_as(node),
+        write(replay::header_record(observed->initial_member(node),
                                     observed->options().node));
       }
       wire::TraceRecord record;
@@ -316,9 +316,9 @@
                                                options.callers));
     callers.back()->start();
   }
-  fault_player faults(cluster, options, result);
+  fault_injector faults(cluster, options, result);
   faults.plan();
-  sample_regularly(cluster, watched);
+  sample_regularly(cluster, monitor);
   const auto all_ended = [&callers] {
     return std::all_of(callers.begin(), callers.end(),
                        [](const auto &each) { return each->ended(); });
@@ -326,16 +326,16 @@
   const microseconds faults_end =
       2 * options.warm_up + options.fault_span + options.rest;
   const microseconds latest_end = faults_end + options.longest_extension;
-  bool came_to_rest =
+  bool within_limit =
       cluster.clock().run_until(faults_end, options.action_limit);
-  while (came_to_rest && !all_ended() && cluster.clock().now() < latest_end) {
-    came_to_rest = cluster.clock().run_until(
+  while (within_limit && !all_ended() && cluster.clock().now() < latest_end) {
+    within_limit = cluster.clock().run_until(
         cluster.clock().now() + 20 * per_second, options.action_limit);
   }
-  result.judged = check(cluster, callers, watched);
-  if (!came_to_rest) {
-    result.judged.violations.emplace_back(invariant::liveness,
-                                          "the run did not come to rest");
+  result.judged = check(cluster, callers, monitor);
+  if (!within_limit) {
+    result.judged.violations.emplace_back(
+        invariant::liveness, "the run exceeded its limit of actions");
   }
   if (!options.show.empty()) {
     result.shown = describe_program(cluster, options.show);
--- a/src/sim/scenario.hpp
+++ b/src/sim/scenario.hpp
@@ -1,5 +1,5 @@
-// A simulated run: a cluster, a workload and a plan of faults, all from one
-// seed, judged at the end.
+// Runs a workload with injected faults on a simulated cluster, all generated
+// from one seed, and checks the invariants at the end.
 #pragma once
 
 #include "sim/checker.hpp"
@@ -11,11 +11,11 @@
 
 namespace heathtrestle::sim {
 
-/// Kinds of fault that a scenario may draw from.
+/// Kinds of fault that a scenario can inject.
 enum class fault_kind : std::uint8_t {
-  kill,        // a daemon dies and starts again, having forgotten all
-  freeze,      // a daemon stands still and wakes believing as before
-  cut_one_way, // one daemon's messages to another are lost
+  kill,        // a daemon dies and restarts without its state
+  freeze,      // a daemon is suspended and resumes with its old state
+  cut_one_way, // messages from one daemon to another are lost
   cut_both_ways,
   zone_loss, // all daemons of a zone die
   zone_cut,  // a zone is cut off from the others
@@ -23,9 +23,9 @@
   platform_lost_answers,
   engine_death,
   tool_hang,
-  planned_stop, // a daemon is stopped in good order and started again
+  planned_stop, // a daemon drains, stops and restarts
   backend_drain,
-  configuration_race, // operators change the same objects
+  configuration_race, // concurrent writes to one object
 };
 inline constexpr std::size_t fault_kind_count = 13;
 
@@ -40,15 +40,15 @@
   std::set<fault_kind> faults;
   std::uint32_t fault_count = 6;
   microseconds warm_up = 8 * per_second;
-  /// Faults fall within this time after the warm-up.
+  /// Faults are injected within this time after the warm-up.
   microseconds fault_span = 40 * per_second;
-  /// Time given to come to rest after the last fault.
+  /// Time without new faults before the check.
   microseconds rest = 120 * per_second;
-  /// Longer programs are given up to this much more time to end.
+  /// Additional time granted while programs have not ended.
   microseconds longest_extension = 300 * per_second;
-  /// Actions after which a run counts as one that does not come to rest.
+  /// Actions in one step of the clock above which the run counts as a livelock.
   std::uint64_t action_limit = 3000000;
-  /// Where the trace of `recorded_node` is written; empty: nowhere.
+  /// File for the trace of `recorded_node`; empty: none.
   std::string record;
   std::size_t recorded_node = 0;
   /// A program whose replicas are described at the end; empty: none.
@@ -57,7 +57,8 @@
 
 struct scenario_result {
   verdict judged;
-  std::vector<std::string> faults; // what was done, and when
+  std::vector<std::string>
+      faults; // description and time of each injected fault
   std::uint64_t programs = 0;
   std::uint64_t finished = 0;
   std::uint64_t engine_starts = 0;
--- a/src/sim/sim_engine.cpp
+++ b/src/sim/sim_engine.cpp
@@ -15,28 +15,28 @@
 void sim_engine::start(const wire::StartEngineRequest &order,
                        progress_sink sink) {
   if (!alive_) {
-    finish_with(order, sink,
-                order.start_allowed() ? wire::DISPATCH_NOT_STARTED
-                                      : wire::DISPATCH_LOST,
-                "no connection");
+    send_finished(order, sink,
+                  order.start_allowed() ? wire::DISPATCH_NOT_STARTED
+                                        : wire::DISPATCH_LOST,
+                  "no connection");
     return;
   }
   if (order.epoch() < epoch_) {
-    finish_with(order, sink,
-                order.start_allowed() ? wire::DISPATCH_NOT_STARTED
-                                      : wire::DISPATCH_LOST,
-                "stale epoch");
+    send_finished(order, sink,
+                  order.start_allowed() ? wire::DISPATCH_NOT_STARTED
+                                        : wire::DISPATCH_LOST,
+                  "stale epoch");
     return;
   }
   epoch_ = order.epoch();
   const auto known = generations_.find(order.engine_request());
   if (known != generations_.end()) {
     known->second->listeners.emplace_back(std::move(sink), 0);
-    tell(*known->second);
+    notify_listeners(*known->second);
     return;
   }
   if (!order.start_allowed()) {
-    finish_with(order, sink, wire::DISPATCH_LOST, "no such request");
+    send_finished(order, sink, wire::DISPATCH_LOST, "no such request");
     return;
   }
   seen_.engine_starts.push_back({clock_.now(), name_, order.engine_request()});
@@ -95,7 +95,7 @@
 
 void sim_engine::kill() {
   alive_ = false;
-  ++life_;
+  ++incarnation_;
   stepping_ = false;
   std::vector<std::pair<std::string, progress_sink>> broken;
   for (const auto &[id, held] : generations_) {
@@ -113,7 +113,7 @@
   for (const auto &[id, sink] : broken) {
     wire::StartEngineRequest order;
     order.set_engine_request(id);
-    finish_with(order, sink, wire::DISPATCH_LOST, "connection reset");
+    send_finished(order, sink, wire::DISPATCH_LOST, "connection reset");
   }
 }
 
@@ -153,12 +153,12 @@
   const double total_ms = prefill_ms + step_ms * model_.tokens_per_step;
   totals_.slot_ms += total_ms * static_cast<double>(running_.size());
   clock_.after(static_cast<microseconds>(total_ms * per_millisecond),
-               [this, life = life_] { step(life); });
+               [this, incarnation = incarnation_] { step(incarnation); });
 }
 
-void sim_engine::step(std::uint64_t life) {
-  if (life != life_) {
-    return; // the process that planned this step has died
+void sim_engine::step(std::uint64_t incarnation) {
+  if (incarnation != incarnation_) {
+    return; // scheduled before the engine was killed
   }
   stepping_ = false;
   const std::size_t bytes = static_cast<std::size_t>(model_.tokens_per_step) *
@@ -174,13 +174,13 @@
       cache_.store(each->program, whole);
       seen_.ever_cached.store(each->program, whole);
     }
-    tell(*each);
+    notify_listeners(*each);
   }
   std::erase_if(running_, [](const auto &each) { return each->done; });
   schedule_step();
 }
 
-void sim_engine::tell(generation &about) {
+void sim_engine::notify_listeners(generation &about) {
   for (auto &[sink, sent] : about.listeners) {
     if (about.produced > sent) {
       wire::Event event;
@@ -211,9 +211,10 @@
   }
 }
 
-void sim_engine::finish_with(const wire::StartEngineRequest &order,
-                             const progress_sink &sink,
-                             wire::DispatchStatus status, std::string detail) {
+void sim_engine::send_finished(const wire::StartEngineRequest &order,
+                               const progress_sink &sink,
+                               wire::DispatchStatus status,
+                               std::string detail) {
   wire::Event event;
   wire::EngineFinished &finished = *event.mutable_engine_finished();
   finished.set_backend(name_);
--- a/src/sim/sim_engine.hpp
+++ b/src/sim/sim_engine.hpp
@@ -1,5 +1,5 @@
-// A model engine in virtual time: batches, a prefix cache, dedupe by request,
-// streams that can be resumed, and a fence by epoch.
+// Simulated model engine in virtual time, with batching, a prefix cache,
+// deduplication by request id, resumable streams and fencing by epoch.
 #pragma once
 
 #include "sim/observations.hpp"
@@ -19,13 +19,13 @@
 struct engine_model {
   std::uint32_t batch = 8;
   std::size_t cache_blocks = 4096;
-  double step_base_ms = 20; // one token for each running request
+  double step_base_ms = 20; // a step makes one token per request
   double step_request_ms = 1;
   double prefill_token_ms = 0.05;
-  std::uint32_t tokens_per_step = 4; // steps joined, to save events
+  std::uint32_t tokens_per_step = 4; // steps simulated as one event
 };
 
-/// Where a stream's progress goes; returns false when nobody listens any more.
+/// Receives the progress and finish events of a stream.
 using progress_sink = std::function<void(wire::Event)>;
 
 class sim_engine {
@@ -38,24 +38,26 @@
   /// @return false when the engine is dead or the order is stale.
   bool release(const wire::ReleaseEngineMemory &order);
 
-  /// @return false when the engine is dead or the order is stale.
+  /// Raises the epoch below which orders are rejected.
+  /// @return false when the engine is dead or `epoch` is stale.
   bool fence(std::uint64_t epoch);
 
-  /// The process ends: everything is forgotten, streams break.
+  /// Ends the process: drops its generations, cache and epoch, and breaks its
+  /// streams.
   void kill();
   void restart();
 
   [[nodiscard]] bool alive() const { return alive_; }
   [[nodiscard]] const stand_ins::prefix_cache &cache() const { return cache_; }
 
-  /// Work done, for the measures.
+  /// Totals of the work done since construction.
   struct totals {
     std::uint64_t prompt_tokens = 0;
     std::uint64_t cached_tokens = 0;
     std::uint64_t output_tokens = 0;
-    /// Tokens prefilled that some engine had cached before.
+    /// Prefilled tokens that some engine had cached before.
     std::uint64_t refilled_tokens = 0;
-    /// Time in which each request in the batch occupied its slot, summed.
+    /// Time that requests occupied batch slots, summed over requests.
     double slot_ms = 0;
   };
   [[nodiscard]] const totals &work() const { return totals_; }
@@ -75,18 +77,18 @@
   };
 
   void schedule_step();
-  void step(std::uint64_t life);
-  void tell(generation &about);
-  void finish_with(const wire::StartEngineRequest &order,
-                   const progress_sink &sink, wire::DispatchStatus status,
-                   std::string detail);
+  void step(std::uint64_t incarnation);
+  void notify_listeners(generation &about);
+  void send_finished(const wire::StartEngineRequest &order,
+                     const progress_sink &sink, wire::DispatchStatus status,
+                     std::string detail);
 
   std::string name_;
   engine_model model_;
   virtual_clock &clock_;
   observations &seen_;
   bool alive_ = true;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::uint64_t epoch_ = 0;
   stand_ins::prefix_cache cache_;
   std::map<std::string, std::shared_ptr<generation>> generations_;
--- a/src/sim/sim_platform.cpp
+++ b/src/sim/sim_platform.cpp
@@ -41,7 +41,8 @@
   return delta;
 }
 
-const wire::Founding &sim_platform::found(const wire::Founding &proposal) {
+const wire::Founding &
+sim_platform::propose_founding(const wire::Founding &proposal) {
   if (!founding_.has_value()) {
     founding_ = proposal;
   }
--- a/src/sim/sim_platform.hpp
+++ b/src/sim/sim_platform.hpp
@@ -1,4 +1,4 @@
-// The platform's object store in virtual time.
+// In-memory stand-in for the platform's versioned object store.
 #pragma once
 
 #include "wire/messages.hpp"
@@ -17,7 +17,9 @@
 public:
   enum class fault : std::uint8_t { none, down, lose_answers };
 
-  /// @return the new version, or nothing on another version than expected.
+  /// Writes an object; an empty document removes it.
+  /// @return the new version, or nothing when the current version differs from
+  /// `expected_version`.
   std::optional<std::uint64_t> put(const std::string &kind,
                                    const std::string &name,
                                    const std::string &document,
@@ -29,10 +31,11 @@
   changes_after(std::uint64_t revision) const;
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  /// The founding record: the first proposal wins.
-  const wire::Founding &found(const wire::Founding &proposal);
+  /// Stores the founding record unless one exists.
+  /// @return the stored record, which is that of the first proposal.
+  const wire::Founding &propose_founding(const wire::Founding &proposal);
 
-  fault present_fault = fault::none;
+  fault current_fault = fault::none;
   /// Called after every accepted change.
   std::function<void()> changed;
 
--- a/src/sim/virtual_clock.hpp
+++ b/src/sim/virtual_clock.hpp
@@ -1,4 +1,4 @@
-// Virtual time and the queue of what happens when.
+// Virtual clock and event queue of a discrete-event simulation.
 #pragma once
 
 #include <cstdint>
@@ -23,12 +23,15 @@
   [[nodiscard]] microseconds now() const { return now_; }
   [[nodiscard]] std::uint64_t now_ms() const { return now_ / per_millisecond; }
 
+  /// Schedules an action; actions due at the same time run in the order in
+  /// which they were scheduled.
   void after(microseconds delay, action what) {
     queue_.push({now_ + delay, next_number_++, std::move(what)});
   }
 
-  /// Runs everything up to `end`, which becomes the present.
-  /// @return false when `action_limit` actions did not suffice.
+  /// Runs all actions due up to `end` and advances the clock to `end`.
+  /// @return false when more than `action_limit` actions were due; the clock
+  /// then stays at the last action run.
   bool run_until(
       microseconds end,
       std::uint64_t action_limit = std::numeric_limits<std::uint64_t>::max()) {
@@ -50,7 +53,7 @@
 private:
   struct entry {
     microseconds when;
-    std::uint64_t number; // keeps the order of equal times
+    std::uint64_t number; // breaks ties between equal times
     action what;
     bool operator<(const entry &other) const {
       return std::pair(when, number) > std::pair(other.when, other.number);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -29,7 +29,7 @@
   nodes_.resize(options_.nodes);
   options_.node.seeds = {"node-0", "node-1", "node-2"};
   for (std::size_t index = 0; index < options_.nodes; ++index) {
-    hollow_node &made = nodes_[index];
+    simulated_node &made = nodes_[index];
     const std::string name = fmt::format("node-{}", index);
     made.member.set_node(make_node_id(name).value());
     made.member.set_name(name);
@@ -39,7 +39,7 @@
     made.member.set_holds_partitions(true);
     node_by_id_[made.member.node()] = index;
     node_by_address_[name] = index;
-    // Processes do not all start in the same instant.
+    // Spread the starts, so that ticks do not coincide.
     clock_.after(random_() % per_second,
                  [this, index] { start_process(index); });
   }
@@ -62,7 +62,7 @@
 }
 
 void world::start_process(std::size_t index) {
-  hollow_node &started = nodes_[index];
+  simulated_node &started = nodes_[index];
   const bool keeps_identity =
       options_.switched_off == mutation::same_identity_after_restart &&
       started.boot != 0;
@@ -114,7 +114,7 @@
   nodes_[node].frozen_until = clock_.now() + duration;
   const std::uint64_t boot = nodes_[node].boot;
   clock_.after(duration, [this, node, boot] {
-    hollow_node &woken = nodes_[node];
+    simulated_node &woken = nodes_[node];
     if (!alive(node) || woken.boot != boot ||
         woken.frozen_until > clock_.now()) {
       return;
@@ -164,7 +164,7 @@
 
 void world::write_object(const std::string &kind, const std::string &name,
                          const std::string &document) {
-  if (platform_.present_fault == sim_platform::fault::down) {
+  if (platform_.current_fault == sim_platform::fault::down) {
     clock_.after(platform_retry, [this, kind, name, document] {
       write_object(kind, name, document);
     });
@@ -205,9 +205,9 @@
   }
 }
 
-std::string world::ask(std::size_t node, wire::ClientRequest request,
-                       std::uint64_t time_limit_ms, reply_sink replied,
-                       std::function<void()> broken) {
+std::string world::send_request(std::size_t node, wire::ClientRequest request,
+                                std::uint64_t time_limit_ms, reply_sink replied,
+                                std::function<void()> broken) {
   std::string id = fmt::format("request-{}", next_request_++);
   request.set_request_id(id);
   if (options_.switched_off == mutation::no_order &&
@@ -225,7 +225,7 @@
   return id;
 }
 
-void world::hang_up(const std::string &request_id) {
+void world::close_connection(const std::string &request_id) {
   const auto found = connections_.find(request_id);
   if (found == connections_.end()) {
     return;
@@ -247,7 +247,7 @@
 }
 
 void world::deliver(std::size_t node, wire::Event event) {
-  hollow_node &target = nodes_[node];
+  simulated_node &target = nodes_[node];
   if (target.frozen_until > clock_.now()) {
     target.held.push_back(std::move(event));
     return;
@@ -277,7 +277,7 @@
   case wire::Effect::kCancelEngineRequest: {
     const wire::CancelEngineRequest &order = effect.cancel_engine_request();
     clock_.after(engine_latency, [this, order] {
-      if (sim_engine *target = engine_at(order.backend())) {
+      if (sim_engine *target = find_engine(order.backend())) {
         target->cancel(order);
       }
     });
@@ -303,7 +303,7 @@
     }
     return;
   case wire::Effect::kDrainDone: {
-    // The process ends itself; what it still had open would be cut off.
+    // The process exits; connections still open to it are cut off.
     for (const auto &[id, open] : connections_) {
       seen_.cut_by_planned_stop += open.node == index ? 1 : 0;
     }
@@ -316,7 +316,7 @@
     return;
   }
   default:
-    return; // streamed text and logs are not looked at here
+    return; // streamed text, logs and other effects are ignored
   }
 }
 
@@ -386,7 +386,7 @@
   }
   const std::uint64_t boot = nodes_[index].boot;
   clock_.after(engine_latency, [this, index, boot, order] {
-    sim_engine *target = engine_at(order.backend());
+    sim_engine *target = find_engine(order.backend());
     if (target == nullptr) {
       return;
     }
@@ -400,7 +400,7 @@
                            const wire::ReleaseEngineMemory &order) {
   const std::uint64_t boot = nodes_[index].boot;
   clock_.after(engine_latency, [this, index, boot, order] {
-    sim_engine *target = engine_at(order.backend());
+    sim_engine *target = find_engine(order.backend());
     const bool lost = options_.switched_off == mutation::no_release;
     wire::Event event;
     wire::EngineMemoryReleased &released =
@@ -416,7 +416,7 @@
 void world::fence_engine(std::size_t index, const wire::FenceEngine &order) {
   const std::uint64_t boot = nodes_[index].boot;
   clock_.after(engine_latency, [this, index, boot, order] {
-    sim_engine *target = engine_at(order.backend());
+    sim_engine *target = find_engine(order.backend());
     wire::Event event;
     wire::EngineFenced &fenced = *event.mutable_engine_fenced();
     fenced.set_backend(order.backend());
@@ -461,28 +461,28 @@
 
 void world::propose_founding(std::size_t index,
                              const wire::Founding &founding) {
-  if (platform_.present_fault == sim_platform::fault::down) {
+  if (platform_.current_fault == sim_platform::fault::down) {
     return; // proposed again later
   }
   wire::Event event;
-  *event.mutable_founding_read() = platform_.found(founding);
+  *event.mutable_founding_read() = platform_.propose_founding(founding);
   post(index, nodes_[index].boot, platform_latency, std::move(event));
 }
 
 void world::watch(std::size_t index) {
-  hollow_node &watcher = nodes_[index];
+  simulated_node &watcher = nodes_[index];
   if (!alive(index) || !watcher.watching) {
     watcher.watch_running = false;
     return;
   }
-  const bool down = platform_.present_fault == sim_platform::fault::down;
+  const bool down = platform_.current_fault == sim_platform::fault::down;
   const bool frozen = watcher.frozen_until > clock_.now();
   if (!down && !frozen) {
     const std::uint64_t known = watcher.running->configuration().revision();
     if (platform_.revision() > known) {
       wire::Event event;
       *event.mutable_configuration_read() =
-          seen_by_daemons(platform_.changes_after(known));
+          apply_mutations(platform_.changes_after(known));
       post(index, watcher.boot, platform_latency, std::move(event));
     }
   }
@@ -490,7 +490,7 @@
 }
 
 wire::ConfigurationDelta
-world::seen_by_daemons(wire::ConfigurationDelta delta) const {
+world::apply_mutations(wire::ConfigurationDelta delta) const {
   for (wire::ConfigurationObject &object : *delta.mutable_objects()) {
     std::string &document = *object.mutable_document();
     const bool hides_drain = options_.switched_off == mutation::no_drain &&
@@ -543,7 +543,7 @@
   }
 }
 
-sim_engine *world::engine_at(const std::string &backend) {
+sim_engine *world::find_engine(const std::string &backend) {
   for (std::size_t index = 0; index < engines_.size(); ++index) {
     if (backend == fmt::format("engine-{}", index)) {
       return engines_[index].get();
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -1,6 +1,7 @@
-// A whole cluster in one process and in virtual time: hollow daemons (the real
-// reducer without sockets), links, engines, tools, the platform and callers.
-// A run follows from its seed alone.
+// Deterministic simulation of a cluster in one process and virtual time. It
+// runs the real reducer of each daemon without sockets, and simulates links,
+// engines, tools, the platform and client connections. The seed determines the
+// run.
 #pragma once
 
 #include "bench/workload.hpp"
@@ -37,17 +38,17 @@
   double duplication = 0.0;               // share of messages sent twice
   microseconds tick = 50 * per_millisecond;
   microseconds tool_time = 20 * per_millisecond;
-  /// Encodes and decodes every message between daemons, so that processor time
-  /// counts as it would in separate processes.
+  /// Encodes and decodes every message between daemons, so that measured
+  /// processor time includes serialization.
   bool encode_messages = false;
   mutation switched_off = mutation::none;
-  /// Called for every event that is reduced, with its effects.
+  /// Called with every reduced event and its effects.
   std::function<void(std::size_t node, const wire::Event &,
                      const effects::effect_list &)>
       observe;
 };
 
-/// Traffic between daemons, counted as it would be on the wire.
+/// Messages and bytes sent between daemons.
 struct traffic {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0; // payload and an allowance for headers
@@ -71,22 +72,23 @@
   [[nodiscard]] bool reachable(std::size_t node) const;
   /// True when callers can connect: alive and not being stopped.
   [[nodiscard]] bool accepting(std::size_t node) const;
-  /// The member record with which the node's process began.
-  [[nodiscard]] const wire::Member &started_as(std::size_t node) const {
+  /// The member record with which the node's current process started.
+  [[nodiscard]] const wire::Member &initial_member(std::size_t node) const {
     return nodes_[node].member;
   }
   core::node &node(std::size_t index) { return *nodes_[index].running; }
-  /// Ends a process at once; it forgets everything.
+  /// Kills a process, which loses all its state, and breaks its connections.
   void kill(std::size_t node);
   /// Starts a process again under the same name.
   void restart(std::size_t node);
-  /// Stops a process for a while; it wakes without having noticed.
+  /// Suspends a process; events that arrive meanwhile are delivered when it
+  /// resumes.
   void freeze(std::size_t node, microseconds duration);
-  /// Begins a planned stop.
+  /// Starts a planned stop.
   void drain(std::size_t node);
 
   // ---- links
-  /// Loses what `from` sends to `to` while it lasts.
+  /// Drops the messages from `from` to `to` for the duration.
   void cut(std::size_t from, std::size_t to, microseconds duration);
   void cut_zone(std::size_t zone, microseconds duration);
   [[nodiscard]] std::size_t zone_of(std::size_t node) const {
@@ -96,22 +98,21 @@
   // ---- back ends and tools
   sim_engine &engine(std::size_t index) { return *engines_[index]; }
   [[nodiscard]] std::size_t engine_count() const { return engines_.size(); }
-  /// Notes that a fault lasts for so long.
-  void disturb(microseconds duration) {
-    undisturbed_since_ = std::max(undisturbed_since_, clock_.now() + duration);
-  }
-  [[nodiscard]] microseconds undisturbed_since() const {
-    return undisturbed_since_;
+  /// Records that a fault lasts for this long from now.
+  void extend_fault_period(microseconds duration) {
+    last_fault_end_ = std::max(last_fault_end_, clock_.now() + duration);
   }
+  [[nodiscard]] microseconds last_fault_end() const { return last_fault_end_; }
   void hang_tool(microseconds duration) {
     tool_hangs_until_ = clock_.now() + duration;
   }
 
   // ---- configuration
-  /// Writes an object as an operator would, settling lost answers.
+  /// Writes an object at its current version; retries while the platform is
+  /// down.
   void write_object(const std::string &kind, const std::string &name,
                     const std::string &document);
-  /// The tenants, classes, models, tools and back ends of a profile.
+  /// Writes the tenants, classes, models, tools and back ends of a profile.
   void configure(const bench::profile &profile);
 
   // ---- callers
@@ -119,10 +120,10 @@
   /// Sends a request to a daemon.
   /// @param broken called when the connection is lost.
   /// @return the request's id.
-  std::string ask(std::size_t node, wire::ClientRequest request,
-                  std::uint64_t time_limit_ms, reply_sink replied,
-                  std::function<void()> broken);
-  void hang_up(const std::string &request_id);
+  std::string send_request(std::size_t node, wire::ClientRequest request,
+                           std::uint64_t time_limit_ms, reply_sink replied,
+                           std::function<void()> broken);
+  void close_connection(const std::string &request_id);
 
   [[nodiscard]] const traffic &traffic_seen() const { return traffic_; }
   void reset_traffic() { traffic_ = {}; }
@@ -130,7 +131,7 @@
   void deliver(std::size_t node, wire::Event event);
 
 private:
-  struct hollow_node {
+  struct simulated_node {
     wire::Member member;
     std::unique_ptr<core::node> running;
     std::uint64_t boot = 0;
@@ -138,7 +139,7 @@
     bool watching = false;
     bool watch_running = false;
     bool draining = false;
-    std::vector<wire::Event> held; // came while frozen
+    std::vector<wire::Event> held; // arrived while frozen
   };
   struct connection {
     std::size_t node;
@@ -161,12 +162,14 @@
   void watch(std::size_t index);
   void reply_to_client(const wire::ReplyToClient &effect);
   void break_connections(std::size_t node);
-  /// Delivers an event to one process, if it is still the same.
+  /// Delivers an event after a delay, unless the process with this boot number
+  /// has ended by then.
   void post(std::size_t index, std::uint64_t boot, microseconds delay,
             wire::Event event);
-  sim_engine *engine_at(const std::string &backend);
+  sim_engine *find_engine(const std::string &backend);
+  /// Changes a configuration delta as the mutation under test requires.
   wire::ConfigurationDelta
-  seen_by_daemons(wire::ConfigurationDelta delta) const;
+  apply_mutations(wire::ConfigurationDelta delta) const;
   [[nodiscard]] microseconds latency(std::size_t from, std::size_t to);
   [[nodiscard]] double unit_random();
 
@@ -175,7 +178,7 @@
   virtual_clock clock_;
   observations seen_;
   sim_platform platform_;
-  std::vector<hollow_node> nodes_;
+  std::vector<simulated_node> nodes_;
   std::map<std::uint64_t, std::size_t> node_by_id_;
   std::map<std::string, std::size_t> node_by_address_;
   std::vector<std::unique_ptr<sim_engine>> engines_;
@@ -183,7 +186,7 @@
   std::map<std::string, connection> connections_;
   std::map<std::string, std::string> tool_results_;
   microseconds tool_hangs_until_ = 0;
-  microseconds undisturbed_since_ = 0;
+  microseconds last_fault_end_ = 0;
   std::uint64_t next_request_ = 0;
   traffic traffic_;
 };
--- a/tests/sim/scenario_test.cpp
+++ b/tests/sim/scenario_test.cpp
@@ -1,5 +1,5 @@
-// A fixed set of simulated runs: all hold as the product is, and the checker
-// sees each point violated when its mechanism is switched off.
+// Invariants hold under injected faults for a fixed set of seeds, and the
+// checker detects a violation when the mechanism behind it is switched off.
 #include "sim/scenario.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,35 +13,37 @@
 
 class scenario_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(scenario_test);
-  CPPUNIT_TEST(a_calm_day_holds);
-  CPPUNIT_TEST(all_faults_together_hold);
-  CPPUNIT_TEST(deaths_during_tool_calls_hold);
+  CPPUNIT_TEST(invariants_hold_without_faults);
+  CPPUNIT_TEST(invariants_hold_with_all_faults);
+  CPPUNIT_TEST(invariants_hold_with_failures_during_tool_calls);
   CPPUNIT_TEST(the_same_seed_gives_the_same_run);
-  CPPUNIT_TEST(without_order_calls_overtake);
-  CPPUNIT_TEST(without_release_memory_is_held);
-  CPPUNIT_TEST(without_reservation_budgets_break);
-  CPPUNIT_TEST(without_the_fence_bookings_repeat);
-  CPPUNIT_TEST(without_drain_a_leaving_back_end_gets_work);
-  CPPUNIT_TEST(without_drain_a_stop_cuts_requests);
-  CPPUNIT_TEST(without_request_ids_answers_cross);
-  CPPUNIT_TEST(without_commit_a_refusal_lies);
-  CPPUNIT_TEST(without_relay_the_configuration_is_late);
+  CPPUNIT_TEST(unordered_calls_are_detected);
+  CPPUNIT_TEST(unreleased_memory_is_detected);
+  CPPUNIT_TEST(overspent_budgets_are_detected);
+  CPPUNIT_TEST(repeated_bookings_are_detected);
+  CPPUNIT_TEST(work_on_a_draining_back_end_is_detected);
+  CPPUNIT_TEST(requests_cut_by_a_planned_stop_are_detected);
+  CPPUNIT_TEST(crossed_replies_are_detected);
+  CPPUNIT_TEST(false_not_run_refusals_are_detected);
+  CPPUNIT_TEST(late_configuration_is_detected);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void a_calm_day_holds() {
+  void invariants_hold_without_faults() {
     scenario_options options = standard_scenario(1);
     options.faults.clear();
     expect_all_hold(options);
   }
 
-  void all_faults_together_hold() {
+  void invariants_hold_with_all_faults() {
     scenario_options options = standard_scenario(1);
     options.fault_count = 12;
     expect_all_hold(options);
   }
 
-  void deaths_during_tool_calls_hold() { expect_all_hold(slow_tools()); }
+  void invariants_hold_with_failures_during_tool_calls() {
+    expect_all_hold(slow_tools());
+  }
 
   void the_same_seed_gives_the_same_run() {
     const scenario_result first = run_scenario(standard_scenario(5));
@@ -51,39 +53,39 @@
     CPPUNIT_ASSERT_EQUAL(first.engine_starts, second.engine_starts);
   }
 
-  void without_order_calls_overtake() {
+  void unordered_calls_are_detected() {
     expect_violated(mutation::no_order, invariant::order);
   }
-  void without_release_memory_is_held() {
+  void unreleased_memory_is_detected() {
     expect_violated(mutation::no_release, invariant::memory);
   }
-  void without_reservation_budgets_break() {
+  void overspent_budgets_are_detected() {
     expect_violated(mutation::no_reservation, invariant::budget);
   }
-  void without_the_fence_bookings_repeat() {
+  void repeated_bookings_are_detected() {
     scenario_options options = slow_tools();
     options.world.switched_off = mutation::always_start;
     expect_violated(options, invariant::at_most_once);
   }
-  void without_drain_a_leaving_back_end_gets_work() {
+  void work_on_a_draining_back_end_is_detected() {
     scenario_options options = standard_scenario(1);
     options.faults = {fault_kind::backend_drain};
     options.world.switched_off = mutation::no_drain;
     expect_violated(options, invariant::leaving_backend);
   }
-  void without_drain_a_stop_cuts_requests() {
+  void requests_cut_by_a_planned_stop_are_detected() {
     scenario_options options = standard_scenario(1);
     options.faults = {fault_kind::planned_stop};
     options.world.switched_off = mutation::stop_without_drain;
     expect_violated(options, invariant::planned_stop);
   }
-  void without_request_ids_answers_cross() {
+  void crossed_replies_are_detected() {
     expect_violated(mutation::crossed_replies, invariant::whole_answer);
   }
-  void without_commit_a_refusal_lies() {
+  void false_not_run_refusals_are_detected() {
     expect_violated(mutation::early_not_run, invariant::not_run);
   }
-  void without_relay_the_configuration_is_late() {
+  void late_configuration_is_detected() {
     expect_violated(mutation::no_relay, invariant::configuration);
   }
 
@@ -122,7 +124,7 @@
     expect_violated(options, which);
   }
 
-  /// Some seed must show it; which one is fixed by the seeds.
+  /// At least one of the seeds must violate the invariant.
   static void expect_violated(scenario_options options, invariant which) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       set_seed(options, seed);
