--- a/src/replay/main.cpp
+++ b/src/replay/main.cpp
@@ -1,5 +1,5 @@
-// heathtrestle-replay: runs recorded traces through the real reducer and
-// checks the outcomes that are stated for them.
+// heathtrestle-replay: replays recorded traces through the reducer and compares
+// the counted outcomes with the expected ones.
 #include "config/settings_schema.hpp"
 #include "replay/outcomes.hpp"
 #include "replay/trace.hpp"
@@ -12,7 +12,7 @@
 
 using namespace heathtrestle;
 
-/// @return true when every stated outcome is shown.
+/// @return true when every count is within its expected range.
 bool check(const std::string &path, const std::string &outcomes_path) {
   const auto trace = replay::read_trace(path);
   if (!trace) {
@@ -26,14 +26,14 @@
   }
   const auto counts = replay::replay_and_count(trace.value());
   bool all = true;
-  for (const replay::stated_outcome &stated : outcomes.value()) {
+  for (const replay::expected_outcome &expected : outcomes.value()) {
     const std::uint64_t count =
-        counts.at(static_cast<std::size_t>(stated.kind));
-    const bool shown = count >= stated.least && count <= stated.most;
-    all = all && shown;
+        counts.at(static_cast<std::size_t>(expected.kind));
+    const bool matches = count >= expected.least && count <= expected.most;
+    all = all && matches;
     fmt::print("{}: {} {} = {}, stated {} to {}\n", path,
-               shown ? "shown" : "NOT SHOWN", replay::name_of(stated.kind),
-               count, stated.least, stated.most);
+               matches ? "shown" : "NOT SHOWN", replay::name_of(expected.kind),
+               count, expected.least, expected.most);
   }
   fmt::print("{}: {} events replayed\n", path, trace.value().size() - 1);
   return all;
@@ -61,11 +61,11 @@
     fmt::print(stderr, "--trace: at least one is needed\n");
     return config::exit_code_bad_settings;
   }
-  std::size_t held = 0;
+  std::size_t passed = 0;
   for (const std::string &trace : traces) {
     const std::string stem = trace.substr(0, trace.rfind(".trace"));
-    held += check(trace, stem + ".toml") ? 1 : 0;
+    passed += check(trace, stem + ".toml") ? 1 : 0;
   }
-  fmt::print("{} passed, {} failed\n", held, traces.size() - held);
-  return held == traces.size() ? EXIT_SUCCESS : EXIT_FAILURE;
+  fmt::print("{} passed, {} failed\n", passed, traces.size() - passed);
+  return passed == traces.size() ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/src/replay/outcomes.cpp
+++ b/src/replay/outcomes.cpp
@@ -28,8 +28,8 @@
              : std::optional(static_cast<outcome_kind>(found - names.begin()));
 }
 
-/// Counts what the effects of a replay amount to.
-class counter {
+/// Counts outcomes from the effects of a replay.
+class outcome_counter {
 public:
   void add(const wire::Effect &effect) {
     switch (effect.body_case()) {
@@ -108,7 +108,7 @@
   return names.at(static_cast<std::size_t>(kind));
 }
 
-result<std::vector<stated_outcome>> read_outcomes(const std::string &path) {
+result<std::vector<expected_outcome>> read_outcomes(const std::string &path) {
   toml::table document;
   try {
     document = toml::parse_file(path);
@@ -118,7 +118,7 @@
                             failure.description()),
                 "read outcomes");
   }
-  std::vector<stated_outcome> outcomes;
+  std::vector<expected_outcome> outcomes;
   for (const auto &[name, value] : document) {
     const auto kind = kind_named(name.str());
     const auto exact = value.value<std::uint64_t>();
@@ -145,7 +145,7 @@
 replay_and_count(const std::vector<wire::TraceRecord> &trace) {
   const wire::TraceHeader &header = trace.front().header();
   core::node node(header.self(), options_of(header));
-  counter seen;
+  outcome_counter counter;
   for (const wire::TraceRecord &record : trace) {
     if (!record.has_event()) {
       continue;
@@ -159,14 +159,14 @@
           effects[index].SerializeAsString() ==
               record.effects(static_cast<int>(index)).SerializeAsString();
       if (!same) {
-        seen.add_difference();
+        counter.add_difference();
       }
     }
     for (const wire::Effect &effect : effects) {
-      seen.add(effect);
+      counter.add(effect);
     }
   }
-  return seen.counts();
+  return counter.counts();
 }
 
 } // namespace heathtrestle::replay
--- a/src/replay/trace.cpp
+++ b/src/replay/trace.cpp
@@ -81,14 +81,14 @@
       records.push_back(std::move(record));
     } else if (!clean_end) {
       return fail(error_code::invalid_request,
-                  fmt::format("{}: record {} is cut or damaged", path,
+                  fmt::format("{}: record {} is truncated or damaged", path,
                               records.size() + 1),
                   "read trace");
     }
   }
   if (records.empty() || !records.front().has_header()) {
     return fail(error_code::invalid_request,
-                path + ": no trace: it does not begin with a header",
+                path + ": not a trace: the first record is not a header",
                 "read trace");
   }
   return records;
