--- a/src/bench/driver.cpp
+++ b/src/bench/driver.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr std::string_view booking_tool = "booking";
-constexpr std::chrono::seconds release_patience{20};
-constexpr std::chrono::milliseconds release_check{200};
+constexpr std::chrono::seconds release_timeout{20};
+constexpr std::chrono::milliseconds release_poll_interval{200};
 
 json::object get_object(http::client &client, const std::string &address,
                         const std::string &path) {
@@ -42,7 +42,7 @@
   for (const json::key_value_pair &entry : counts) {
     const std::string key(entry.key());
     if (key.find(marker) == std::string::npos) {
-      continue; // another run's
+      continue; // a booking of another run
     }
     const auto runs = entry.value().to_number<std::uint32_t>();
     report.bookings_run += runs > 0 ? 1 : 0;
@@ -50,10 +50,11 @@
   }
 }
 
-/// @return programs of this run for which some engine still holds memory.
-std::uint32_t count_holders(http::client &client, const driver_options &options,
-                            const std::set<std::string> &own) {
-  std::set<std::string> holders;
+/// Counts the programs of this run that still have engine memory.
+std::uint32_t count_programs_in_caches(http::client &client,
+                                       const driver_options &options,
+                                       const std::set<std::string> &own) {
+  std::set<std::string> cached_programs;
   for (const std::string &engine : options.engines) {
     const json::object held = get_object(client, engine, "/v1/cache/programs");
     const json::value *programs = held.if_contains("programs");
@@ -63,11 +64,11 @@
     for (const json::value &program : programs->as_array()) {
       const std::string id(program.at("program").as_string());
       if (own.contains(id)) {
-        holders.insert(id);
+        cached_programs.insert(id);
       }
     }
   }
-  return static_cast<std::uint32_t>(holders.size());
+  return static_cast<std::uint32_t>(cached_programs.size());
 }
 
 void wait_for_release(http::client &client, const driver_options &options,
@@ -76,13 +77,14 @@
   for (const program_result &program : report.programs) {
     own.insert(program.id);
   }
-  const auto deadline = steady::now() + release_patience;
+  const auto deadline = steady::now() + release_timeout;
   do {
-    report.programs_holding_memory = count_holders(client, options, own);
+    report.programs_holding_memory =
+        count_programs_in_caches(client, options, own);
     if (report.programs_holding_memory == 0) {
       return;
     }
-    boost::this_fiber::sleep_for(release_check);
+    boost::this_fiber::sleep_for(release_poll_interval);
   } while (steady::now() < deadline);
 }
 
@@ -105,7 +107,7 @@
                     [](const program_result &each) { return each.finished; }));
 }
 
-bool run_report::all_right() const {
+bool run_report::succeeded() const {
   std::uint32_t confirmed = 0;
   std::uint32_t unknown = 0;
   bool programs_right = true;
@@ -164,7 +166,7 @@
   std::uint32_t refusals = 0;
   std::uint32_t calls = 0;
   std::set<std::string> classes;
-  std::string complaints;
+  std::string errors;
   for (const program_result &program : report.programs) {
     histories += program.history_right ? 1 : 0;
     confirmed += program.bookings_confirmed;
@@ -173,8 +175,8 @@
     refusals += program.refusals;
     calls += program.calls;
     classes.insert(program.program_class);
-    if (!program.complaint.empty()) {
-      complaints += "  " + program.complaint + "\n";
+    if (!program.first_error.empty()) {
+      errors += "  " + program.first_error + "\n";
     }
   }
   std::string text = fmt::format(
@@ -194,8 +196,8 @@
                         each, quantile(latencies, 0.50),
                         quantile(latencies, 0.95), quantile(latencies, 0.99));
   }
-  if (!complaints.empty()) {
-    text += "what went wrong:\n" + complaints;
+  if (!errors.empty()) {
+    text += "what went wrong:\n" + errors;
   }
   return text;
 }
--- a/src/bench/driver.hpp
+++ b/src/bench/driver.hpp
@@ -1,5 +1,6 @@
-// Plays programs against real daemons as their callers would, and checks every
-// answer, every history and every booking.
+// Load generator: runs a workload of programs against daemons over HTTP, and
+// checks answers, recorded histories, bookings and the release of engine
+// memory.
 #pragma once
 
 #include "bench/workload.hpp"
@@ -15,14 +16,14 @@
 
 struct driver_options {
   std::vector<std::string> daemons; // HTTP addresses
-  std::string platform;             // HTTP address, to count bookings
-  std::vector<std::string> engines; // HTTP addresses, to look for memory
-  /// A call that has no final answer after this is counted as failed.
-  std::chrono::seconds patience{60};
-  std::uint64_t run = 0; // makes the keys of this run unlike any other's
+  std::string platform;             // HTTP address; queried for booking counts
+  std::vector<std::string> engines; // HTTP addresses; queried for held memory
+  /// Time after which a call without a final answer counts as failed.
+  std::chrono::seconds answer_timeout{60};
+  std::uint64_t run = 0; // prefix of the idempotency keys, unique to this run
 };
 
-/// What came of one program.
+/// Outcome of one program.
 struct program_result {
   std::string id;
   std::string name;
@@ -31,14 +32,14 @@
   bool finished = false;
   bool history_right = false;
   double latency_ms = 0;
-  double no_wait_ms = 0; // pauses alone
+  double no_wait_ms = 0; // sum of the pauses of the program itself
   std::uint32_t calls = 0;
   std::uint32_t retries = 0;
   std::uint32_t refusals = 0;
   std::uint32_t wrong_answers = 0;
   std::uint32_t bookings_confirmed = 0;
   std::uint32_t bookings_unknown = 0;
-  std::string complaint; // the first thing that went wrong
+  std::string first_error; // empty when nothing failed
 };
 
 struct run_report {
@@ -48,20 +49,22 @@
   std::uint32_t programs_holding_memory = 0;
 
   [[nodiscard]] std::uint32_t finished() const;
-  /// True when every program finished, with the right history, no booking ran
-  /// twice, each confirmed one ran, and no engine memory is held.
-  [[nodiscard]] bool all_right() const;
+  /// Returns true when every program finished with the expected history, no
+  /// booking ran twice, the number of bookings run fits those confirmed and
+  /// unknown, and no engine memory is held.
+  [[nodiscard]] bool succeeded() const;
 };
 
-/// Plays a workload to its end.
+/// Runs all programs, each from its arrival time, and checks the results.
+/// Blocks the calling thread; must not be called from a fiber.
 run_report run_workload(http::client &client, runtime::fiber_pool &fibers,
                         const driver_options &options,
                         const std::vector<program_plan> &programs);
 
-/// The report as text for people.
+/// Formats the report as readable text.
 std::string format_report(const run_report &report);
 
-/// One JSON object a program.
+/// Formats the report as one JSON object per line and program.
 std::string report_lines(const run_report &report);
 
 } // namespace heathtrestle::bench
--- a/src/bench/load_main.cpp
+++ b/src/bench/load_main.cpp
@@ -1,5 +1,5 @@
-// heathtrestle-load: plays a workload of programs against running daemons and
-// checks all that it gets back.
+// heathtrestle-load: runs a workload of programs against running daemons and
+// checks the results.
 #include "bench/driver.hpp"
 #include "config/settings_schema.hpp"
 #include "http/io_thread.hpp"
@@ -17,7 +17,7 @@
   bench::workload_options workload;
   bench::driver_options driver;
   std::uint64_t programs = 60;
-  std::chrono::milliseconds patience{60000};
+  std::chrono::milliseconds answer_timeout{60000};
   std::string lines_file;
   config::settings_schema schema;
   schema.texts("daemon", driver.daemons, "HTTP address of a daemon, repeated");
@@ -32,7 +32,7 @@
               "programs that arrive a second");
   schema.real("scale", workload.scale, 0.001, 1000,
               "scales lengths and pauses");
-  schema.milliseconds("patience", patience, 100, 3600000,
+  schema.milliseconds("patience", answer_timeout, 100, 3600000,
                       "longest wait for the final answer to a call");
   schema.text("lines", lines_file, "writes a JSON line a program here");
   const auto choice = config::parse_command_line(
@@ -48,7 +48,8 @@
     return config::exit_code_bad_settings;
   }
   workload.programs = static_cast<std::uint32_t>(programs);
-  driver.patience = std::chrono::duration_cast<std::chrono::seconds>(patience);
+  driver.answer_timeout =
+      std::chrono::duration_cast<std::chrono::seconds>(answer_timeout);
   driver.run = std::random_device{}();
   http::io_thread io;
   http::client client(io);
@@ -62,5 +63,5 @@
   if (!lines_file.empty()) {
     std::ofstream(lines_file) << bench::report_lines(report);
   }
-  return report.all_right() ? EXIT_SUCCESS : EXIT_FAILURE;
+  return report.succeeded() ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/src/bench/program_player.cpp
+++ b/src/bench/program_player.cpp
@@ -38,7 +38,7 @@
   return json::serialize(json::object{{"content", text}, {"role", "user"}});
 }
 
-/// The text of a whole completion.
+/// Returns the text of a completion that was not streamed.
 std::string text_of_completion(const std::string &body) {
   const json::object fields = parse_object(body);
   boost::system::error_code failure;
@@ -49,7 +49,8 @@
   return is_text ? std::string(content->as_string()) : std::string();
 }
 
-/// The joined text of a streamed completion; nothing when it did not end well.
+/// Returns the text of a streamed completion, or nothing when the stream ended
+/// without "[DONE]".
 std::optional<std::string> text_of_stream(const std::string &body) {
   std::string text;
   std::size_t start = 0;
@@ -126,10 +127,10 @@
   request.body = json::serialize(json::object{{"tenant", plan_.tenant},
                                               {"class", plan_.program_class},
                                               {"name", plan_.name}});
-  const auto answer = ask(request);
+  const auto answer = send_until_final(request);
   if (!answer.has_value() || answer->status != status_created) {
-    complain("the program could not be created: " +
-             (answer.has_value() ? answer->body : "no answer"));
+    record_error("the program could not be created: " +
+                 (answer.has_value() ? answer->body : "no answer"));
     return false;
   }
   id_ = std::string(parse_object(answer->body).at("id").as_string());
@@ -183,31 +184,33 @@
                                               {"messages", std::move(messages)},
                                               {"max_tokens", call.max_tokens},
                                               {"stream", stream}});
-  const auto deadline = steady::now() + options_.patience;
+  const auto deadline = steady::now() + options_.answer_timeout;
   while (steady::now() < deadline) {
-    const auto answer = ask_call(request, key);
+    const auto answer = send_call(request, key);
     if (!answer.has_value() || answer->status != status_ok) {
-      complain(key + " got no answer: " +
-               (answer.has_value() ? answer->body : "patience ended"));
+      record_error(key + " got no answer: " +
+                   (answer.has_value() ? answer->body : "timed out"));
       return false;
     }
     const auto text = stream ? text_of_stream(answer->body)
                              : std::optional(text_of_completion(answer->body));
     if (!text.has_value()) {
-      ++result_.retries; // the stream broke; the key gets the whole answer
+      ++result_
+            .retries; // broken stream; a retry by key returns the whole answer
       continue;
     }
     const std::string expected =
         stand_ins::expected_answer(conversation, call.max_tokens);
     if (*text != expected) {
       ++result_.wrong_answers;
-      complain(fmt::format("{} got \"{}\", not \"{}\"", key, *text, expected));
+      record_error(fmt::format("{} was answered \"{}\", expected \"{}\"", key,
+                               *text, expected));
       return false;
     }
     conversation.push_back(stand_ins::assistant_message(expected));
     return true;
   }
-  complain(key + " had only broken streams");
+  record_error(key + " timed out after broken streams");
   return false;
 }
 
@@ -218,7 +221,7 @@
   request.headers["Heathtrestle-Unrepeatable"] =
       call.unrepeatable ? "true" : "false";
   request.body = json::serialize(json::object{{"case", call.text}});
-  const auto answer = ask_call(std::move(request), key);
+  const auto answer = send_call(std::move(request), key);
   if (answer.has_value() && answer->status == status_ok) {
     result_.bookings_confirmed += call.unrepeatable ? 1 : 0;
     return true;
@@ -227,19 +230,19 @@
                        error_field(answer->body, "ran") == "outcome_unknown";
   if (unknown) {
     ++result_.bookings_unknown;
-    return true; // a true answer; a person would look into it
+    return true; // a valid final answer, so the program continues
   }
-  complain(key + " failed: " +
-           (answer.has_value() ? answer->body : "patience ended"));
+  record_error(key +
+               " failed: " + (answer.has_value() ? answer->body : "timed out"));
   return false;
 }
 
 void program_player::check_history() {
   http::request request;
   request.path = "/v1/programs/" + id_;
-  const auto answer = ask(request);
+  const auto answer = send_until_final(request);
   if (!answer.has_value() || answer->status != status_ok) {
-    complain("the history could not be read");
+    record_error("the history could not be read");
     return;
   }
   std::map<std::string, std::vector<std::string>> recorded;
@@ -253,7 +256,7 @@
   }
   result_.history_right = recorded == conversations_;
   if (!result_.history_right) {
-    complain("the recorded history differs from the conversation");
+    record_error("the recorded history differs from the conversation");
   }
 }
 
@@ -261,15 +264,15 @@
   http::request request;
   request.method = "DELETE";
   request.path = "/v1/programs/" + id_;
-  if (const auto answer = ask(request);
+  if (const auto answer = send_until_final(request);
       !answer.has_value() || answer->status != status_ok) {
-    complain("the program could not be ended");
+    record_error("the program could not be ended");
   }
 }
 
-std::optional<program_player::answered>
-program_player::ask(const http::request &request) {
-  const auto deadline = steady::now() + options_.patience;
+std::optional<program_player::final_reply>
+program_player::send_until_final(const http::request &request) {
+  const auto deadline = steady::now() + options_.answer_timeout;
   while (steady::now() < deadline) {
     const std::string &daemon =
         options_.daemons[next_daemon_ % options_.daemons.size()];
@@ -290,11 +293,11 @@
         status == status_ok ? streamed : answer.value().body;
     const bool settled = error_field(body, "retry_with") == "new_key";
     const auto retry_after = answer.value().headers.find("Retry-After");
-    const bool come_back =
+    const bool must_retry =
         retry_after != answer.value().headers.end() &&
         (status >= status_server_error || status == status_too_many);
-    if (!come_back) {
-      return answered{status, body, false};
+    if (!must_retry) {
+      return final_reply{status, body, false};
     }
     ++result_.refusals;
     int seconds = 1;
@@ -304,19 +307,19 @@
     ++next_daemon_;
     boost::this_fiber::sleep_for(std::chrono::seconds(seconds));
     if (settled) {
-      return answered{status, body, true};
+      return final_reply{status, body, true};
     }
   }
   return std::nullopt;
 }
 
-std::optional<program_player::answered>
-program_player::ask_call(http::request request, const std::string &key) {
-  const auto deadline = steady::now() + options_.patience;
+std::optional<program_player::final_reply>
+program_player::send_call(http::request request, const std::string &key) {
+  const auto deadline = steady::now() + options_.answer_timeout;
   for (std::uint32_t number = 0; steady::now() < deadline; ++number) {
     request.headers["Idempotency-Key"] =
         number == 0 ? key : fmt::format("{}-again-{}", key, number);
-    auto answer = ask(request);
+    auto answer = send_until_final(request);
     const bool not_run = answer.has_value() && answer->settled &&
                          error_field(answer->body, "ran") == "not_run";
     if (!not_run) {
@@ -326,9 +329,9 @@
   return std::nullopt;
 }
 
-void program_player::complain(std::string what) {
-  if (result_.complaint.empty()) {
-    result_.complaint = fmt::format("{}: {}", id_, what);
+void program_player::record_error(std::string what) {
+  if (result_.first_error.empty()) {
+    result_.first_error = fmt::format("{}: {}", id_, what);
   }
 }
 
--- a/src/bench/program_player.hpp
+++ b/src/bench/program_player.hpp
@@ -1,5 +1,6 @@
-// Plays one program: its calls in order, repeated with the same key until a
-// final answer comes, each answer checked against what the engine must say.
+// Runs the calls of one program over HTTP, retries each with the same
+// idempotency key until its answer is final, and compares it with the expected
+// answer.
 #pragma once
 
 #include "bench/driver.hpp"
@@ -19,10 +20,10 @@
   program_result play();
 
 private:
-  struct answered {
+  struct final_reply {
     std::uint32_t status = 0;
     std::string body;
-    bool settled = false; // refused for good under its key
+    bool settled = false; // refused; a retry needs a new key
   };
 
   bool create();
@@ -32,12 +33,14 @@
   bool play_tool(const call_plan &call, const std::string &key);
   void check_history();
   void end();
-  /// Sends a request to one daemon after another until the answer is final.
-  std::optional<answered> ask(const http::request &request);
-  /// Asks for a call; one that was not run is asked for under a new key.
-  std::optional<answered> ask_call(http::request request,
-                                   const std::string &key);
-  void complain(std::string what);
+  /// Sends a request, retrying at the next daemon, until the answer is final.
+  /// @return nothing when the timeout has passed.
+  std::optional<final_reply> send_until_final(const http::request &request);
+  /// Sends a call, and sends it again under a new key when it was not run.
+  /// @return nothing when the timeout has passed.
+  std::optional<final_reply> send_call(http::request request,
+                                       const std::string &key);
+  void record_error(std::string what);
   [[nodiscard]] std::string key_of(std::size_t stage, std::size_t call) const;
 
   http::client &client_;
--- a/src/bench/statistics.hpp
+++ b/src/bench/statistics.hpp
@@ -1,4 +1,4 @@
-// Quantiles of measured values.
+// Quantiles and means of samples.
 #pragma once
 
 #include <vector>
@@ -10,6 +10,7 @@
 /// exceed; 0 when there are none.
 double quantile(std::vector<double> values, double share);
 
+/// @return the arithmetic mean.
 double mean(const std::vector<double> &values);
 
 } // namespace heathtrestle::bench
--- a/src/bench/workload.cpp
+++ b/src/bench/workload.cpp
@@ -21,11 +21,11 @@
 constexpr std::string_view lookup_tool = "lookup";
 constexpr double milliseconds_per_second = 1000.0;
 
-/// The shape of one kind of program.
+/// Distribution parameters of one kind of program.
 struct program_shape {
   std::string name;
   std::string program_class;
-  double share = 1.0; // of the programs, relative to the others
+  double share = 1.0; // weight among the kinds of a profile
   std::uint32_t least_turns = 1;
   double median_turns = 3;
   double turn_spread = 0.4; // sigma of the lognormal distribution
--- a/src/bench/workload.hpp
+++ b/src/bench/workload.hpp
@@ -1,5 +1,5 @@
-// Workloads of agent programs, made from a seed: what each program does is
-// fixed here and unknown to the scheduler.
+// Generates reproducible workloads of agent programs from a seed. The calls of
+// each program are planned in advance; the scheduler does not know the plan.
 #pragma once
 
 #include <chrono>
@@ -20,11 +20,11 @@
   std::string text;              // the user's message, or the tool's argument
   std::uint32_t max_tokens = 64; // chat only
   bool unrepeatable = false;
-  /// Time the program takes after the answer before it goes on.
+  /// Pause of the program after the answer.
   std::chrono::milliseconds pause{0};
 };
 
-/// Calls that run side by side; the next stage waits for all of them.
+/// Calls sent concurrently; the next stage waits for all of them.
 struct stage_plan {
   std::vector<call_plan> calls;
 };
@@ -47,7 +47,7 @@
   std::uint32_t priority = 0;
 };
 
-/// A user's installation: who shares it and what their programs look like.
+/// An installation: its zones, engines, tenants and program classes.
 struct profile {
   std::string name;
   std::vector<std::string> zones;
