--- a/src/bench/program_player.cpp
+++ b/src/bench/program_player.cpp
@@ -195,8 +195,8 @@
     const auto text = stream ? text_of_stream(answer->body)
                              : std::optional(text_of_completion(answer->body));
     if (!text.has_value()) {
-      ++result_
-            .retries; // broken stream; a retry by key returns the whole answer
+      // The stream broke; a retry by key returns the whole answer.
+      ++result_.retries;
       continue;
     }
     const std::string expected =
--- a/src/bench/statistics.hpp
+++ b/src/bench/statistics.hpp
@@ -10,7 +10,7 @@
 /// exceed; 0 when there are none.
 double quantile(std::vector<double> values, double share);
 
-/// @return the arithmetic mean.
+/// @return the arithmetic mean; 0 when there are no values.
 double mean(const std::vector<double> &values);
 
 } // namespace heathtrestle::bench
--- a/src/replay/outcomes.hpp
+++ b/src/replay/outcomes.hpp
@@ -16,7 +16,7 @@
   calls_not_run,       // replies with a failure marked as not run
   calls_unknown,       // replies with any other failure
   tools_started,       // invocations sent that may start a tool
-  tools_started_twice, // invocations sent so more than once
+  tools_started_twice, // invocations with repeated permission to start
   generations_started, // engine requests that may start one
   generations_resumed, // engine requests that may only resume one
   leaderships_gained,
--- a/src/sim/caller.cpp
+++ b/src/sim/caller.cpp
@@ -60,7 +60,7 @@
           self->created_ = true;
           self->next_stage();
         } else {
-          self->world_.seen().complaints.push_back(
+          self->world_.seen().errors.push_back(
               fmt::format("creation of {} was refused: {}", self->id_,
                           reply.failure().ShortDebugString()));
         }
@@ -183,7 +183,7 @@
     return;
   }
   if (reply.has_program()) {
-    world_.seen().complaints.push_back(
+    world_.seen().errors.push_back(
         fmt::format("{} {} got the answer of another request", id_, call->key));
     call->answered = true;
     return;
@@ -251,7 +251,7 @@
   if (failure.retry_after_ms() == 0 && failure.settled() &&
       failure.ran() == wire::RAN_NOT_RUN) {
     call->answered = true;
-    world_.seen().complaints.push_back(fmt::format(
+    world_.seen().errors.push_back(fmt::format(
         "{} {} refused: {}", id_, call->key, failure.ShortDebugString()));
     call_done();
     return;
--- a/src/sim/checker.cpp
+++ b/src/sim/checker.cpp
@@ -239,16 +239,15 @@
       up_since_[index] = now;
     }
     if (revision < known_revision) {
-      complaints_.push_back(
-          fmt::format("node-{} went back from revision {} to {}", index,
-                      known_revision, revision));
+      errors_.push_back(fmt::format("node-{} went back from revision {} to {}",
+                                    index, known_revision, revision));
     }
     known_revision = revision;
     const bool should_have_converged =
         up_since_[index] + spread_limit <= now &&
         cluster.last_fault_end() + spread_limit <= now;
     if (should_have_converged && revision < required_revision) {
-      complaints_.push_back(
+      errors_.push_back(
           fmt::format("node-{} has revision {}, but {} must be in force", index,
                       revision, required_revision));
     }
@@ -270,11 +269,11 @@
         fmt::format("{} requests were cut off by planned stops",
                     cluster.seen().cut_by_planned_stop));
   }
-  for (const std::string &complaint : monitor.complaints()) {
-    result.violations.emplace_back(invariant::configuration, complaint);
+  for (const std::string &text : monitor.errors()) {
+    result.violations.emplace_back(invariant::configuration, text);
   }
-  for (const std::string &complaint : cluster.seen().complaints) {
-    result.violations.emplace_back(invariant::liveness, complaint);
+  for (const std::string &text : cluster.seen().errors) {
+    result.violations.emplace_back(invariant::liveness, text);
   }
   return result;
 }
--- a/src/sim/checker.hpp
+++ b/src/sim/checker.hpp
@@ -42,14 +42,14 @@
   /// regular intervals.
   void sample(world &cluster);
 
-  [[nodiscard]] const std::vector<std::string> &complaints() const {
-    return complaints_;
+  [[nodiscard]] const std::vector<std::string> &errors() const {
+    return errors_;
   }
 
 private:
   std::map<std::size_t, std::pair<std::uint64_t, std::uint64_t>> revisions_;
   std::map<std::size_t, microseconds> up_since_;
-  std::vector<std::string> complaints_;
+  std::vector<std::string> errors_;
 };
 
 /// Checks all invariants. Faults must be over and programs must have had time
--- a/src/sim/observations.hpp
+++ b/src/sim/observations.hpp
@@ -45,7 +45,7 @@
   std::map<std::string, microseconds> drains_accepted; // by back end
   /// Revision and time of each accepted configuration change.
   std::vector<std::pair<std::uint64_t, microseconds>> changes_accepted;
-  std::vector<std::string> complaints; // unexpected replies to callers
+  std::vector<std::string> errors; // unexpected replies to callers
   std::uint64_t cut_by_planned_stop = 0;
   std::uint64_t programs_finished = 0;
   std::uint64_t programs_started = 0;
