--- a/src/dispatch/dispatch_table.cpp
+++ b/src/dispatch/dispatch_table.cpp
@@ -57,14 +57,14 @@
       view.configuration.backend(request.backend());
   if (backend == nullptr ||
       !view.configuration.accepts_work(request.backend())) {
-    refuse(view, request, "the backend does not accept new requests", 1);
+    refuse(view, request, "the back end takes no new work", 1);
     return;
   }
   const bool full =
       queue.running >= backend->slots && queue.waiting >= backend->queue_limit;
   if (full) {
     const std::uint64_t rounds = 1 + queue.waiting / backend->slots;
-    refuse(view, request, "the backend's queue is full",
+    refuse(view, request, "the back end's queue is full",
            rounds * estimated_slot_time_ms);
     return;
   }
@@ -381,7 +381,7 @@
     held.state = attempt_state::done;
     held.last_progress = view.step.now();
     held.reply = reply_to(held.request, wire::DISPATCH_REFUSED);
-    held.reply.set_detail("the backend has another leader or is draining");
+    held.reply.set_detail("the back end moved or is draining");
     held.reply.set_retry_after_ms(1);
     send_reply(view, held.reply);
   }
@@ -405,7 +405,7 @@
     finished.set_engine_request(id);
     finished.set_backend(attempts_.at(id).request.backend());
     finished.set_status(wire::DISPATCH_LOST);
-    finished.set_detail("the engine's stream timed out without progress");
+    finished.set_detail("the engine's stream fell silent");
     on_finished(view, finished);
   }
 }
--- a/src/gateway/pending_table.cpp
+++ b/src/gateway/pending_table.cpp
@@ -172,8 +172,7 @@
   failure.set_peer(fmt::format("partition {}", waiting.request.partition()));
   failure.set_message(
       waiting.ever_sent
-          ? "no reply in time; repeat the request with the same key to get its "
-            "outcome"
+          ? "no answer in time; ask again with the same key for the outcome"
           : "the partition has no leader yet; nothing was sent");
   // Another gateway may have sent a request with a key chosen by the client.
   const bool known_not_run = !waiting.ever_sent && waiting.key_is_fresh;
--- a/src/programs/coordinator_attempts.cpp
+++ b/src/programs/coordinator_attempts.cpp
@@ -73,7 +73,7 @@
       command.set_state(wire::CALL_NOT_RUN);
       *command.mutable_failure() = failure_of(
           error_code::conflict,
-          fmt::format("predecessor call {} was not completed",
+          fmt::format("call {}, which it comes after, was not completed",
                       call->request().after()),
           "order", "", wire::RAN_NOT_RUN, options_.overload_retry_after_ms);
       finish(view, *program, *call, std::move(command));
@@ -99,9 +99,8 @@
     command.set_cost(not_run ? 0 : call.reserved());
     *command.mutable_failure() = failure_of(
         error_code::no_backend,
-        fmt::format("no back end accepts calls for model {}", request.target()),
-        "place", request.target(),
-        not_run ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN,
+        fmt::format("no back end takes work for {}", request.target()), "place",
+        request.target(), not_run ? wire::RAN_NOT_RUN : wire::RAN_UNKNOWN,
         no_backend_retry_after_ms);
     finish(view, program, call, std::move(command));
     return;
@@ -262,8 +261,7 @@
   const config::tool_object *tool =
       view.configuration.tool(call.request().target());
   if (tool == nullptr) {
-    handle_lost_attempt(view, program, call,
-                        "the tool was removed from the configuration",
+    handle_lost_attempt(view, program, call, "the tool left the configuration",
                         call.request().target());
     return;
   }
@@ -339,7 +337,7 @@
   if (!certainly_not_started && call.request().unrepeatable()) {
     handle_lost_attempt(
         view, program, call,
-        "a dispatcher declined the attempt, but another may have started it",
+        "a dispatcher declined, but another may have started it",
         call.backend());
     return;
   }
--- a/src/programs/program_store.cpp
+++ b/src/programs/program_store.cpp
@@ -344,8 +344,7 @@
   }
   const bool follows_last = command.attempt() == call->attempt() + 1;
   if (is_final(call->state()) || !follows_last) {
-    return refused(error_code::conflict,
-                   "the call is final or the attempt is out of sequence");
+    return refused(error_code::conflict, "the call has moved on");
   }
   call->set_state(wire::CALL_RUNNING);
   call->set_attempt(command.attempt());
@@ -366,8 +365,7 @@
     return no_such_program(command.program());
   }
   if (is_final(call->state()) || command.attempt() != call->attempt()) {
-    return refused(error_code::conflict,
-                   "the call is final or has a different attempt number");
+    return refused(error_code::conflict, "the call has moved on");
   }
   call->set_state(command.state());
   call->set_answer(command.answer());
--- a/src/query/rows.cpp
+++ b/src/query/rows.cpp
@@ -118,7 +118,7 @@
         });
   }
   if (show.limit.has_value() && *show.limit < 0) {
-    return fail(error_code::invalid_request, "the limit must not be negative",
+    return fail(error_code::invalid_request, "the limit is negative",
                 "run statement");
   }
   if (show.limit.has_value() &&
