--- a/src/raft/consensus.hpp
+++ b/src/raft/consensus.hpp
@@ -7,7 +7,9 @@
 // identity, since its id contains the boot number; it rejoins through a logged
 // change of the replica set. A replica with a disk stores its identity there in
 // place of the boot number. What `take_unsaved` returns must be written before
-// any message of the outbox is sent.
+// the messages of the outbox are sent, except a leader's append requests: these
+// may precede the write, because entries count as committed only after others
+// acknowledge them. Votes, acknowledgements and replies must wait for it.
 #pragma once
 
 #include "base/error.hpp"
